--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -11,7 +11,7 @@
 import type { GatheredParts, PartListener } from '../gateway/part-source.js';
 import { ShardGather } from '../gateway/shard-gather.js';
 import { targetLatencyOf } from '../gateway/route-latencies.js';
-import { TIME_UP, UNOFFERED_PART } from '../gateway/forward-single.js';
+import { TIME_UP, UNSENT_REFUSAL_FRACTION } from '../gateway/forward-single.js';
 import type { PartsMessage } from './aggregation-messages.js';
 import type { LeafSource } from './leaf-source.js';
 
@@ -83,7 +83,7 @@
     this.timers.push(
       clock.setTimer(hedgeDelay * GRANT_PART, () => this.askForGrant()),
       this.reportTimer(),
-      clock.setTimer(targetLatencyOf(route) * UNOFFERED_PART, () => this.endUnoffered()),
+      clock.setTimer(targetLatencyOf(route) * UNSENT_REFUSAL_FRACTION, () => this.endUnoffered()),
       clock.setTimer(Math.max(0, deadline - clock.now()), () => this.end(TIME_UP)),
     );
     this.gather.start();
@@ -151,7 +151,7 @@
   }
 
   private endUnoffered(): void {
-    if (!this.gather.isOffered) this.end('no replica has room');
+    if (!this.gather.mayHaveSent) this.end('no replica has room');
   }
 
   private end(reason: string): void {
@@ -207,7 +207,7 @@
     this.gather.cancel(reason);
     if (missing > 0 || sends > shards.length) {
       const summary = { root, rootRouteVersion, shards: shards.length, missing, sends, reason };
-      this.context.decisions.gathered(request, this.gather, summary);
+      this.context.decisions.logGather(request, this.gather, summary);
     }
     this.options.onEnd();
   }
--- a/src/gateway/gateway-upkeep.ts
+++ b/src/gateway/gateway-maintenance.ts
@@ -8,12 +8,12 @@
 import type { GatewayEndpoint } from './gateway-endpoint.js';
 
 /** So few replicas are connected to before the first routes say which are asked from here. */
-const FEW_REPLICAS = 128;
+const MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES = 128;
 /** How often forgotten replicas are looked for. */
 const FORGET_INTERVAL_MS = 500;
 
 /** What it works on. */
-export interface GatewayUpkeepParts {
+export interface GatewayMaintenanceOptions {
   readonly context: GatewayContext;
   readonly directory: ReplicaDirectory;
   readonly aggregation: Aggregation;
@@ -23,8 +23,8 @@
 }
 
 /** See the module comment. */
-export class GatewayUpkeep {
-  constructor(private readonly parts: GatewayUpkeepParts) {}
+export class GatewayMaintenance {
+  constructor(private readonly parts: GatewayMaintenanceOptions) {}
 
   /** Runs until stopped. */
   start(): void {
@@ -42,17 +42,17 @@
       clock,
       random,
       targets: () => aggregation.firstAsked(),
-      isWorthIt: (service) => this.isAskedOften(service),
+      isWorthIt: (service) => this.shouldKeepWarm(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
       stopped,
     });
   }
 
-  private isAskedOften(service: string): boolean {
+  private shouldKeepWarm(service: string): boolean {
     const { context, aggregation, endpoint } = this.parts;
     const { table } = endpoint;
-    if (table === undefined) return context.targets.size <= FEW_REPLICAS;
+    if (table === undefined) return context.targets.size <= MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES;
     return table.isShard(service) && aggregation.asksItself(service);
   }
 
