--- a/src/gateway/authentication.ts
+++ b/src/gateway/authentication.ts
@@ -1,34 +1,37 @@
 /**
- * Whose request it is, by its API key and the route document that it is pinned to. Answers the
- * load of callers without a valid key: they are refused before anything else is asked.
+ * Authenticates a request by its API key against the route document that the request is pinned to.
+ * This runs before any other per-request work, so that callers without a valid key cause little load.
  */
 import type { Route } from '../routes/route-document.js';
 import type { RouteTable } from '../routes/route-table.js';
 import type { HttpRequest } from '../seams/http.js';
 import type { Tenant } from '../tenants/tenant.js';
 
-/** Why a request is not taken for any tenant's. */
+/** Why a request cannot be attributed to a tenant. */
 export enum KeyProblem {
-  /** No key, or an empty one. */
+  /** The key header is absent or empty. */
   Missing = 'missing',
-  /** More than one key header: which of them counts would be a guess. */
+  /** The key header occurs more than once, so the intended key is ambiguous. */
   Repeated = 'repeated',
-  /** No tenant of the document holds the key. */
+  /** No tenant in the route document holds the key. */
   Unknown = 'unknown',
 }
 
-/** What callers and log lines are told; never the key. */
+/** Text for the response and the log; it never contains the key. */
 export const KEY_PROBLEM_REASONS: Readonly<Record<KeyProblem, string>> = {
   [KeyProblem.Missing]: 'no API key',
   [KeyProblem.Repeated]: 'more than one API key',
   [KeyProblem.Unknown]: 'no tenant holds this API key',
 };
 
-/** The tenant, which is undefined where no key is needed; or why there is none. */
+/** The tenant, undefined where the request needs no key, or the problem with the key. */
 export type Authentication =
   { readonly tenant: Tenant | undefined } | { readonly problem: KeyProblem };
 
-/** `keyHeader`: name of the header that carries the key, in lower case. */
+/**
+ * Finds the tenant of a request. No key is needed on a public route or when the document names no
+ * tenants. `keyHeader` is the name of the header that carries the key, in lower case.
+ */
 export function authenticate(
   request: HttpRequest,
   { tenants }: RouteTable,
--- a/src/gateway/caller-request.ts
+++ b/src/gateway/caller-request.ts
@@ -1,32 +1,33 @@
-/** A caller's request as the gateway works on it. */
+/** A caller's request after routing and authentication. */
 import type { Route } from '../routes/route-document.js';
 import type { RouteTable } from '../routes/route-table.js';
 import type { Tenant } from '../tenants/tenant.js';
 import type { HttpHeaders } from '../seams/http.js';
 
-/** See the module comment. */
+/** Immutable: every attempt, hedge and gather for the request reads the same object. */
 export interface CallerRequest {
   readonly id: string;
   readonly method: string;
   readonly target: string;
-  /** Those that travel with it. */
+  /** End-to-end headers that are forwarded to replicas. */
   readonly headers: HttpHeaders;
   readonly body: Uint8Array;
-  /** Of what it asks; see `fingerprintOf`. */
+  /** Identifies requests with the same content; see `fingerprintOf`. */
   readonly fingerprint: string;
-  /** Aborts when the caller has gone. */
+  /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
-  /** The version of the routes that all of it goes by. */
+  /** The route table version that the request is pinned to, for all of its attempts. */
   readonly table: RouteTable;
   readonly route: Route;
-  /** Whose request it is; undefined where it needs no API key. */
+  /** The tenant that sent the request; undefined where it needs no API key. */
   readonly tenant: Tenant | undefined;
-  /** Clock readings. Milliseconds. */
+  /** Clock reading. Milliseconds. */
   readonly receivedAt: number;
+  /** Clock reading. Milliseconds. */
   readonly deadline: number;
 }
 
-/** Rank of the request; 0 is the highest. The tenant's goes before the route's. */
+/** Priority of the request; 0 is the highest. The tenant's priority overrides the route's. */
 export function priorityOf({ tenant, route }: CallerRequest): number {
   return tenant?.priority ?? route.priority;
 }
--- a/src/gateway/create-directory-client.ts
+++ b/src/gateway/create-directory-client.ts
@@ -1,4 +1,4 @@
-/** Makes the client by which a gateway follows controllers. */
+/** Creates the directory client with which a gateway follows the controllers. */
 import type { GatewayConfiguration } from '../configuration/gateway-configuration.js';
 import { DirectoryClient } from '../directory/directory-client.js';
 import { SubscriberKind } from '../directory/directory-messages.js';
@@ -10,10 +10,10 @@
 import { formatAddress } from '../seams/address.js';
 import type { Environment } from '../seams/environment.js';
 
-/** Controllers that a gateway follows: one near, and one in case that it is lost. */
+/** One nearby controller, and another one in case the first is lost. */
 const CONTROLLERS_TO_FOLLOW = 2;
 
-/** What the client is made of. */
+/** Settings and collaborators of the client. */
 export interface GatewayDirectoryOptions {
   readonly environment: Environment;
   readonly configuration: GatewayConfiguration;
@@ -24,6 +24,7 @@
   readonly traffic: ZoneTraffic;
 }
 
+/** Creates a client that uses the configured controllers as seeds and reports this gateway's gather address. */
 export function createDirectoryClient(options: GatewayDirectoryOptions): DirectoryClient {
   const { configuration, ...parts } = options;
   const { zone, controllers, listen } = configuration;
--- a/src/gateway/create-gateway-context.ts
+++ b/src/gateway/create-gateway-context.ts
@@ -1,4 +1,4 @@
-/** Makes what the parts of a gateway share. */
+/** Creates the objects that the components of a gateway share. */
 import type { GatewayMechanisms } from '../configuration/gateway-mechanisms.js';
 import type { ReplicaDirectory } from '../directory/replica-directory.js';
 import { DecisionLog } from '../observability/decision-log.js';
@@ -24,9 +24,9 @@
 import type { TenantQuota } from '../tenants/tenant-quota.js';
 import type { ZoneRegions } from './zone-regions.js';
 
-/** What a gateway is set to, and where it looks. */
+/** Settings and collaborators of a gateway. */
 export interface GatewayContextOptions {
-  /** Of the gateway. */
+  /** Name of the gateway. */
   readonly name: string;
   readonly environment: Environment;
   readonly headers: ExchangeHeaders;
@@ -39,12 +39,16 @@
   readonly secondSends: SecondSendLimits;
   readonly lease: AuthorizationLease;
   readonly quota: TenantQuota;
-  /** Gateways of the fleet; undefined while no controller has said it. */
+  /** Number of gateways in the fleet; undefined until a controller has reported it. */
   readonly countGateways: () => number | undefined;
-  /** Tells a controller what was seen of a request under which replicas end; false while none is followed. */
+  /**
+   * Reports to a controller evidence about a request that may crash replicas; returns false while
+   * the gateway follows no controller.
+   */
   readonly reportEvidence: (change: QuarantineChange) => boolean;
 }
 
+/** Creates the context, and registers the gateway's metrics in the telemetry's registry. */
 export function createGatewayContext(options: GatewayContextOptions): GatewayContext {
   const { environment, headers, telemetry, directory, mechanisms, placement } = options;
   const { regions, secondSends, countGateways, lease, quota, traffic } = options;
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -1,10 +1,10 @@
-/** Puts orders to evacuate zones in force at this gateway. */
+/** Applies zone evacuation orders at this gateway. */
 import { EvacuatedZones } from '../evacuations/evacuated-zones.js';
 import type { ZoneEvacuation } from '../evacuations/zone-evacuation.js';
 import type { Logger } from '../observability/logger.js';
 import type { GatewayContext } from './gateway-context.js';
 
-/** See the module comment. */
+/** Keeps the latest order per zone and passes the evacuated zones to the replica targets. */
 export class EvacuationsInForce {
   private readonly evacuatedZones = new EvacuatedZones();
 
@@ -13,9 +13,9 @@
     private readonly logger: Logger,
   ) {}
 
-  /** A controller told of the last order about a zone; older word than is known changes nothing. */
+  /** Applies a zone's order from a controller; an order older than the known one has no effect. */
   apply(evacuation: ZoneEvacuation): void {
-    if (!this.evacuatedZones.take(evacuation)) return;
+    if (!this.evacuatedZones.apply(evacuation)) return;
     const { zones } = this.evacuatedZones;
     this.context.targets.useEvacuatedZones(zones);
     this.context.metrics.evacuatedZones.set(zones.size);
--- a/src/gateway/exchange-headers.ts
+++ b/src/gateway/exchange-headers.ts
@@ -1,34 +1,35 @@
-/** The headers by which gateway, callers and replicas tell each other about a request. */
+/** Headers that gateways, callers and replicas exchange about a request. */
 
-/** Names in lower case. The defaults are the product's own; a deployment may speak others. */
+/** Header names in lower case. A deployment may replace the defaults with names of its own. */
 export interface ExchangeHeaders {
-  /** Names a caller's request; every answer to it carries it back. */
+  /** Identifies a caller's request; every response to it repeats the header. */
   readonly requestId: string;
-  /** How long the sender waits for the answer. Milliseconds. */
+  /** How long the sender waits for the response. Milliseconds. */
   readonly deadline: string;
-  /** Proof that a replica made the answer. */
+  /** Proves that a replica produced the response. */
   readonly signature: string;
-  /** The only replica that may run the request. */
+  /** Id of the only replica that may run the request. */
   readonly targetReplica: string;
-  /** A replica's load: requests running, requests waiting, slots; joined by commas. */
+  /** A replica's load: running requests, waiting requests and slots, separated by commas. */
   readonly load: string;
-  /** In health answers: how long the replica stays cold. Milliseconds. */
+  /** In health check responses: how long the replica stays cold. Milliseconds. */
   readonly warmup: string;
-  /** The replica did not run the request and never will. */
+  /** Set by a replica that did not run the request and never will. */
   readonly notExecuted: string;
-  /** Signatures of the parts that a merged answer holds, joined by commas. */
+  /** Signatures of the parts in a merged response, separated by commas. */
   readonly partSignatures: string;
-  /** How many shards a merged answer lacks. */
+  /** Number of shards missing from a merged response. */
   readonly missingParts: string;
-  /** The caller's API key; never sent on where the route document names tenants. */
+  /** The caller's API key; not forwarded where the route document names tenants. */
   readonly apiKey: string;
   /**
-   * To replicas: name of the tenant whose key the caller gave; never taken from a caller where the
-   * route document names tenants.
+   * Sent to replicas: name of the tenant that holds the caller's API key. Where the route document
+   * names tenants, a caller's own value is discarded.
    */
   readonly tenant: string;
 }
 
+/** Header names of a deployment that sets none of its own. */
 export const DEFAULT_EXCHANGE_HEADERS: ExchangeHeaders = {
   requestId: 'x-request-id',
   deadline: 'x-driftway-deadline-ms',
--- a/src/gateway/exchange-size.ts
+++ b/src/gateway/exchange-size.ts
@@ -1,9 +1,9 @@
-/** Approximate sizes of HTTP messages, for the account of what leaves the zone. */
+/** Approximate sizes of HTTP messages, for the metrics of traffic that leaves the zone. */
 import type { HttpClientRequest, HttpClientResponse, HttpHeaders } from '../seams/http.js';
 
-/** Colon, space and line end of a header. Bytes. */
+/** Colon, space and line break of a header. Bytes. */
 const HEADER_SEPARATORS_BYTES = 4;
-/** Version, status or method and the line ends around the header block. Bytes. */
+/** HTTP version, method or status, and the line breaks around the header block. Bytes. */
 const START_LINE_BYTES = 20;
 
 function sizeOfHeaders(headers: HttpHeaders): number {
@@ -14,12 +14,12 @@
   return bytes;
 }
 
-/** Bytes. */
+/** Approximate size of a request. Bytes. */
 export function sizeOfRequest({ path, headers, body }: HttpClientRequest): number {
   return path.length + sizeOfHeaders(headers) + (body?.length ?? 0);
 }
 
-/** Bytes. */
+/** Approximate size of a response. Bytes. */
 export function sizeOfResponse({ headers, body }: HttpClientResponse): number {
   return sizeOfHeaders(headers) + body.length;
 }
--- a/src/gateway/fan-out.ts
+++ b/src/gateway/fan-out.ts
@@ -1,6 +1,6 @@
 /**
- * Asks every shard of a route and merges what comes back. All shards are those
- * of the one version of the routes that the request began with.
+ * Sends a request to every shard of a route and merges the parts. All shards come
+ * from the one route table version that the request is pinned to.
  */
 import type { HttpResponse } from '../seams/http.js';
 import type { Timer } from '../seams/clock.js';
@@ -12,22 +12,22 @@
 import type { GatheredParts, PartListener, PartSource } from './part-source.js';
 import { targetLatencyOf } from './route-latencies.js';
 
-/** Absorbs what fractions such as 0.89 lose in binary. */
+/** Absorbs the binary rounding error of fractions such as 0.89. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** Decides who asks the shards of a request; the sources report to `listener`. */
+/** Assigns the shards of a request to sources, each of which reports to `listener`. */
 export type PlanSources = (
   request: CallerRequest,
   shards: readonly string[],
   listener: PartListener,
 ) => readonly PartSource[];
 
-/** What is said of a request that a replica may have run: never that it was not run. */
+/** Replaces `NotRun` by `Failed`: the caller of a request that may have run must not be told otherwise. */
 function refusalAfterPossibleRun(refusal: GatewayRefusal): GatewayRefusal {
   return refusal === GatewayRefusal.NotRun ? GatewayRefusal.Failed : refusal;
 }
 
-/** One fan-out in progress. */
+/** One fan-out in progress; each instance serves one request. */
 export class FanOut implements PartListener {
   private sources: readonly PartSource[] = [];
   private readonly parts: GatheredParts[] = [];
@@ -46,7 +46,7 @@
     private readonly planSources: PlanSources,
   ) {}
 
-  /** Resolves with the final answer, at the request's deadline at the latest. */
+  /** Resolves with the final response, at the request's deadline at the latest. Call it once. */
   run(): Promise<HttpResponse> {
     return new Promise((resolve) => {
       this.resolve = resolve;
@@ -82,13 +82,13 @@
     return !mechanisms.shedding || shedding.admits(this.shards[0] ?? '', priorityOf(this.request));
   }
 
-  /** Shards that an answer must hold. */
+  /** Number of shards whose parts a merged response must hold. */
   private get requiredShards(): number {
     const coverage = this.request.route.requiredCoverage ?? 1;
     return Math.max(1, Math.ceil(coverage * this.shards.length - ROUNDING_TOLERANCE));
   }
 
-  /** Shards of which any replica is known. */
+  /** Number of shards with at least one known replica that the route permits. */
   private get reachableShards(): number {
     const { regions, targets } = this.context;
     const { route } = this.request;
@@ -101,7 +101,7 @@
     const { clock } = environment;
     const { receivedAt, deadline, route } = this.request;
     const target = targetLatencyOf(route);
-    if (mechanisms.cutOff) {
+    if (mechanisms.onCutOff) {
       const cutOffAt = Math.max(clock.now(), receivedAt + answerMargin.cutOffDelay(target));
       this.timers.push(clock.setTimer(cutOffAt - clock.now(), () => this.onCutOff(cutOffAt)));
     }
@@ -119,7 +119,7 @@
     }
   }
 
-  /** From here on an answer that is good enough is worth more than the wait for the rest. */
+  /** From the cut-off on, a response with enough shards is returned without waiting for the rest. */
   private onCutOff(dueAt: number): void {
     this.context.answerMargin.noteTimer(this.context.environment.clock.now() - dueAt);
     this.isPastCutOff = true;
--- a/src/gateway/forward-single.ts
+++ b/src/gateway/forward-single.ts
@@ -1,4 +1,4 @@
-/** Forwards a request to one replica of its service and gives the answer back unchanged. */
+/** Forwards a request to one replica of its service and returns its response unchanged. */
 import type { Timer } from '../seams/clock.js';
 import type { HttpResponse } from '../seams/http.js';
 import type { CallerRequest } from './caller-request.js';
@@ -11,14 +11,15 @@
 import type { RouteLatency } from './route-latency.js';
 import { ReplicaRace } from './replica-race.js';
 
-/** A request that no replica could take within this part of its target is refused as not run. */
+/** A request not sent to any replica within this fraction of its target latency is refused as not run. */
 export const UNSENT_REFUSAL_FRACTION = 0.2;
 
-/** Why a request ends although attempts are in flight. */
+/** Reason of a request that ends at its deadline, also with attempts in flight. */
 export const TIME_UP = 'the time is up';
+/** Reason of a request whose caller disconnected, also with attempts in flight. */
 export const CALLER_GONE = 'the caller has gone';
 
-/** One request, from its first sending to its answer. */
+/** One request to one service, from its first attempt to its response. */
 class SingleForwarding {
   private readonly race: ReplicaRace;
   private readonly admission: SingleAdmission;
@@ -71,7 +72,7 @@
     ];
   }
 
-  /** From when it could first be sent: what came before that is no fault of a replica. */
+  /** Counts from the start of forwarding: earlier delays are not caused by a replica. Milliseconds. */
   private readonly connectWithin = (): number => {
     const elapsed = this.context.environment.clock.now() - this.startedAt;
     return longestConnect(this.targetLatency, this.race.wasOffered ? undefined : elapsed);
@@ -113,14 +114,14 @@
 
   private responseOf(outcome: RaceOutcome): HttpResponse {
     if (outcome.answer !== undefined) return outcome.answer;
-    if (outcome.kind === 'answered') throw new Error('an answered race has an answer');
+    if (outcome.kind === 'answered') throw new Error('a race with the outcome "answered" holds no answer');
     if (!outcome.mayHaveRun) return refuseNotRun(outcome.reason, this.admission.retryAfterMs);
     const refusal = this.isDeadlinePassed ? GatewayRefusal.TimedOut : GatewayRefusal.Failed;
     return refuse(refusal, outcome.reason);
   }
 }
 
-/** Resolves with the final answer, at the request's deadline at the latest. */
+/** Resolves with the final response, at the request's deadline at the latest. */
 export function forwardSingle(
   context: GatewayContext,
   request: CallerRequest,
--- a/src/gateway/forwarded-headers.ts
+++ b/src/gateway/forwarded-headers.ts
@@ -1,7 +1,7 @@
-/** Which headers travel with a request and which concern one connection only. */
+/** Separates end-to-end headers, which are forwarded, from hop-by-hop headers. */
 import type { HttpHeaders } from '../seams/http.js';
 
-/** Headers of one connection; also `expect`, which the gateway has answered by reading the body. */
+/** Hop-by-hop headers, and `expect`, which the gateway has answered by reading the body. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -16,7 +16,7 @@
   'expect',
 ]);
 
-/** Values of `connection` that name no further header. */
+/** Values of `connection` that name no other header. */
 const ORDINARY_CONNECTIONS: ReadonlySet<string> = new Set(['keep-alive', 'close']);
 
 function namedByConnection(headers: HttpHeaders): ReadonlySet<string> {
@@ -27,7 +27,7 @@
   return new Set([...CONNECTION_HEADERS, ...named]);
 }
 
-/** The headers that go on to the other side. */
+/** Copies the headers that are forwarded; those that `connection` names are left out as well. */
 export function endToEndHeaders(headers: HttpHeaders): Record<string, string> {
   const dropped = namedByConnection(headers);
   const kept: Record<string, string> = {};
--- a/src/gateway/gateway-answers.ts
+++ b/src/gateway/gateway-answers.ts
@@ -1,29 +1,29 @@
-/** The answers that the gateway gives by itself. */
+/** Responses that the gateway itself produces when it refuses or gives up a request. */
 import type { HttpResponse } from '../seams/http.js';
 
-/** Why the gateway itself answers. */
+/** Error code of a response that the gateway itself produces. */
 export enum GatewayRefusal {
-  /** No route document has arrived yet. Not run. */
+  /** The gateway has received no route document yet. Not run. */
   NoRoutes = 'no_routes',
-  /** No route fits the host and path. */
+  /** No route matches the host and path. */
   NoRoute = 'no_route',
-  /** The request cannot be taken as it is. */
+  /** The request is malformed. */
   BadRequest = 'bad_request',
   /** The body is longer than the route document allows. */
   TooLarge = 'too_large',
-  /** It carries no API key that a tenant holds. Not run. */
+  /** The request carries no API key that a tenant holds. Not run. */
   NotAuthenticated = 'not_authenticated',
-  /** The gateway may not accept API keys at present. Not run. */
+  /** The gateway does not hold the authorization lease that accepting API keys requires. Not run. */
   KeysUnconfirmed = 'keys_unconfirmed',
-  /** Its tenant has sent more than its limit. Not run. */
+  /** The tenant has exceeded its request limit. Not run. */
   RateLimited = 'rate_limited',
-  /** No replica could take it in time. Not run. */
+  /** No replica could accept the request in time. Not run. */
   NotRun = 'not_run',
-  /** Replicas end under it: it is sent to none. Not run. */
+  /** The request is quarantined because replicas crash while they run it. Not run. */
   Quarantined = 'quarantined',
-  /** A replica may have run it, and no usable answer came. */
+  /** A replica may have run the request, and no usable response arrived. */
   Failed = 'failed',
-  /** A replica may have run it, and the time is up. */
+  /** A replica may have run the request, and the deadline passed. */
   TimedOut = 'timed_out',
 }
 
@@ -36,32 +36,32 @@
   [GatewayRefusal.KeysUnconfirmed]: 503,
   [GatewayRefusal.RateLimited]: 429,
   [GatewayRefusal.NotRun]: 503,
-  // Of this request alone: a 503 would speak against the gateway or the service.
+  // Concerns this request alone; a 503 would suggest that the gateway or the service is unavailable.
   [GatewayRefusal.Quarantined]: 429,
   [GatewayRefusal.Failed]: 502,
   [GatewayRefusal.TimedOut]: 504,
 };
 
-/** When a caller whose request was not run may come back. Seconds. */
+/** Default `retry-after` of refusals whose request was not run. Seconds. */
 const RETRY_AFTER_S: Partial<Record<GatewayRefusal, string>> = {
   [GatewayRefusal.NoRoutes]: '1',
   [GatewayRefusal.NotRun]: '0.5',
-  // An operator has to look at it first.
+  // An operator has to review the quarantine first.
   [GatewayRefusal.Quarantined]: '60',
 };
 
-/** Reason of a refusal by the quarantine; operators find the request by it and its fingerprint. */
+/** Reason of a quarantined request; operators find the request by this text and its fingerprint. */
 export const QUARANTINED = 'replicas end under this request';
 
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Digits of a fraction of a second that callers are told: hundredths. */
+/** `retry-after` is sent in hundredths of a second. */
 const RETRY_AFTER_DECIMALS = 2;
 
 function formatSeconds(milliseconds: number): string {
   return (milliseconds / MILLISECONDS_PER_SECOND).toFixed(RETRY_AFTER_DECIMALS);
 }
 
-/** The answer for a refusal; `retryAfterMs` where it is known when the caller may come back. */
+/** Builds the response for a refusal; `retryAfterMs` overrides the refusal's default `retry-after`. */
 export function refuse(
   refusal: GatewayRefusal,
   reason: string,
@@ -80,8 +80,8 @@
 }
 
 /**
- * The answer to a request that no replica has run or will run, by why it was given up;
- * `retryAfterMs` where it is known when there is room for it.
+ * Builds the response to a request that no replica has run or will run. `reason` is why the gateway
+ * gave it up; `retryAfterMs` is set where the time at which a replica has room is known.
  */
 export function refuseNotRun(reason: string, retryAfterMs?: number): HttpResponse {
   if (reason === QUARANTINED) return refuse(GatewayRefusal.Quarantined, reason);
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the gateway share. */
+/** The objects that the components of one gateway share. */
 import type { GatewayMechanisms } from '../configuration/gateway-mechanisms.js';
 import type { ZoneTraffic } from '../observability/zone-traffic.js';
 import type { Environment } from '../seams/environment.js';
@@ -18,6 +18,7 @@
 import type { TenantQuota } from '../tenants/tenant-quota.js';
 import type { ZoneRegions } from './zone-regions.js';
 
+/** Created once per gateway; aggregation replaces `shares` by its own for gathers. */
 export interface GatewayContext {
   readonly environment: Environment;
   readonly headers: ExchangeHeaders;
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway daemon: forwards callers' HTTP requests to replicas by the route
- * document, and merges the answers of those that go to all shards. Holds no disk.
+ * The gateway daemon: forwards callers' HTTP requests to replicas according to the route
+ * document, and merges the parts of requests that go to all shards. It stores nothing on disk.
  */
 import { Aggregation } from '../aggregation/aggregation.js';
 import { observe } from '../control-stream/observe.js';
@@ -35,7 +35,7 @@
 import { drainCallers } from './planned-stop.js';
 import { ZoneRegions } from './zone-regions.js';
 
-/** A running gateway. */
+/** One gateway, from {@link GatewayDaemon.start} until {@link GatewayDaemon.stop}. */
 export class GatewayDaemon {
   private readonly logger: Logger;
   private readonly directory: ReplicaDirectory;
@@ -88,9 +88,9 @@
   }
 
   /**
-   * Starts a gateway that listens and follows the controllers.
+   * Starts a gateway; resolves once it listens. It follows the controllers from then on.
    *
-   * @throws ConnectionError when an address cannot be listened on.
+   * @throws ConnectionError when it cannot listen on one of its addresses.
    */
   static async start(
     environment: Environment,
@@ -102,7 +102,7 @@
     try {
       await daemon.listen();
     } catch (error) {
-      // Streams to controllers would keep the process of a gateway that serves nobody.
+      // Open streams to controllers would keep the process alive although the gateway serves nobody.
       await daemon.callerListener?.close();
       await daemon.release();
       throw error;
@@ -110,26 +110,26 @@
     return daemon;
   }
 
-  /** Where callers reach it. */
+  /** Address on which the gateway accepts callers. Throws before the gateway listens. */
   get address(): Address {
-    if (this.callerListener === undefined) throw new Error('the gateway does not listen yet');
+    if (this.callerListener === undefined) throw new Error('the gateway is not listening for callers yet');
     return this.callerListener.address;
   }
 
-  /** Controllers whose stream is open. */
+  /** Number of controllers to which a stream is open. */
   get followedControllers(): number {
     return this.client.openLinks;
   }
 
-  /** Follows other controllers from now on; those that they name are followed too. */
+  /** Replaces the seed controllers; the gateway may also follow controllers that the seeds name. */
   useControllers(addresses: readonly Address[]): void {
     this.client.useSeeds(addresses.map(formatAddress));
   }
 
   /**
-   * Planned stop: not ready at once, so that callers are sent elsewhere, while
-   * new requests are still served; then idle connections are closed and the
-   * requests in flight answered.
+   * Planned stop. The gateway reports not ready at once, so that callers are sent to other
+   * gateways, but keeps serving new requests for a while; then it closes idle connections and
+   * answers the requests in flight. A second call returns at once.
    */
   async stop(): Promise<void> {
     if (this.isStopping) return;
@@ -148,7 +148,7 @@
     this.logger.info('gateway stopped', { inFlight: this.inFlight });
   }
 
-  /** Closes all but the listener of callers, whose answers come first in a planned stop. */
+  /** Closes everything but the listener for callers, which a planned stop drains first. */
   private async release(): Promise<void> {
     this.shutdown.abort(new Error('stopped'));
     await this.healthListener?.close();
@@ -158,7 +158,7 @@
     this.context.targets.stop();
   }
 
-  /** Requests of callers, and of other gateways, that have no answer yet. */
+  /** Number of unanswered requests from callers and other gateways. */
   private get inFlight(): number {
     return this.endpoint.inFlight + this.aggregation.inProgress;
   }
--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -1,4 +1,7 @@
-/** Takes callers' requests: finds the route, pins the version and gets the answer. */
+/**
+ * Handles callers' requests: pins each to the route table in force, finds its route, checks the API
+ * key, quarantine and tenant limit, and forwards the request.
+ */
 import { randomUUID } from 'node:crypto';
 import { fingerprintOf } from '../quarantine/request-fingerprint.js';
 import type { Route } from '../routes/route-document.js';
@@ -18,30 +21,30 @@
 import { TableInForce } from './table-in-force.js';
 import { withTenant } from './tenant-headers.js';
 
-/** Time that the answer needs to get back to the caller before its deadline. Milliseconds. */
+/** Time reserved for the response to reach the caller before its deadline. Milliseconds. */
 const RETURN_MARGIN_MS = 5;
 
 const HTTP_TOO_MANY_REQUESTS = 429;
 const HTTP_UNAVAILABLE = 503;
 
-/** What a request goes by. */
+/** The table, route and tenant by which a request is handled. */
 interface MatchedRoute {
   readonly table: RouteTable;
   readonly route: Route;
   readonly tenant: Tenant | undefined;
 }
 
-/** What is known of a rejected request besides the reason. */
+/** Optional details of a rejected request. */
 interface RejectionDetails {
   readonly fingerprint?: string;
-  /** Milliseconds. */
+  /** Time until a retry may be admitted. Milliseconds. */
   readonly retryAfterMs?: number;
 }
 
-/** See the module comment. */
+/** Counts and times every request that it handles; routes and tables can change while it serves. */
 export class GatewayEndpoint {
   private readonly tableInForce: TableInForce;
-  /** Requests that have no answer yet. */
+  /** Number of unanswered requests. */
   inFlight = 0;
   private readonly splitChooser: SplitChooser;
 
@@ -53,12 +56,12 @@
     this.splitChooser = new SplitChooser(context.environment.random);
   }
 
-  /** The route table in force; undefined before the first. */
+  /** The route table in force; undefined before the first one arrives. */
   get table(): RouteTable | undefined {
     return this.tableInForce.current;
   }
 
-  /** Puts a table in force for requests from now on. */
+  /** Puts a table in force for new requests; requests in flight keep theirs. */
   useTable(table: RouteTable): void {
     this.tableInForce.use(table);
   }
@@ -80,7 +83,7 @@
   private async route(request: HttpRequest, receivedAt: number): Promise<HttpResponse> {
     if (this.table === undefined)
       await this.tableInForce.waitForFirst(this.callerTimeoutMs(request));
-    // Not the one that was waited for: the lease is for the table in force.
+    // Read the table after the wait: the lease applies to the table in force, not to the awaited one.
     const { table } = this;
     if (request.signal.aborted) {
       return this.reject(request, GatewayRefusal.NotRun, CALLER_GONE);
@@ -112,7 +115,7 @@
     return this.forwardWithinLimits(request, callerRequest, tenant);
   }
 
-  /** Sends the request of a tenant on, where its key and its limit allow it now. */
+  /** Forwards a tenant's request if the authorization lease is held and the tenant's limit admits it. */
   private async forwardWithinLimits(
     request: HttpRequest,
     callerRequest: CallerRequest,
@@ -143,7 +146,7 @@
     return response;
   }
 
-  /** Whether the answer is this gateway's own word that the request was not run. */
+  /** Whether this gateway itself produced the response, and it states that the request was not run. */
   private isCertainlyNotRun({ status, headers = {} }: HttpResponse): boolean {
     const isRefusal = status === HTTP_TOO_MANY_REQUESTS || status === HTTP_UNAVAILABLE;
     return isRefusal && headers[this.context.headers.signature] === undefined;
@@ -190,7 +193,7 @@
       target,
       headers: { ...headers, [requestId]: id },
       body,
-      // Of the headers that go on, as a gateway that gathers for this one has no others.
+      // Uses the forwarded headers only: a gateway that gathers for this one sees no others.
       fingerprint: fingerprintOf({ method, target, headers, body, tenant: tenant?.name }),
       signal: request.signal,
       table,
@@ -210,7 +213,7 @@
     return tenants === undefined ? headers : withTenant(headers, this.context.headers, tenant);
   }
 
-  /** How long the caller says it will wait; Infinity when it does not say. Milliseconds. */
+  /** Timeout from the caller's deadline header; Infinity when absent or not positive. Milliseconds. */
   private callerTimeoutMs(request: HttpRequest): number {
     const stated = Number(request.headers[this.context.headers.deadline] ?? Infinity);
     return stated > 0 ? stated : Infinity;
--- a/src/gateway/gateway-maintenance.ts
+++ b/src/gateway/gateway-maintenance.ts
@@ -1,4 +1,4 @@
-/** What a gateway does in the background: connections kept warm, silent replicas forgotten, traffic logged. */
+/** Background tasks of a gateway: warms connections, drops silent replicas, logs zone traffic. */
 import type { Aggregation } from '../aggregation/aggregation.js';
 import type { ReplicaDirectory } from '../directory/replica-directory.js';
 import type { Logger } from '../observability/logger.js';
@@ -7,12 +7,15 @@
 import type { GatewayContext } from './gateway-context.js';
 import type { GatewayEndpoint } from './gateway-endpoint.js';
 
-/** So few replicas are connected to before the first routes say which are asked from here. */
+/**
+ * Before the first route table shows which replicas this gateway sends to, connections are warmed
+ * only if the gateway knows at most this many replicas.
+ */
 const MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES = 128;
-/** How often forgotten replicas are looked for. */
+/** Interval between checks for silent replicas. */
 const FORGET_INTERVAL_MS = 500;
 
-/** What it works on. */
+/** Collaborators of {@link GatewayMaintenance}. */
 export interface GatewayMaintenanceOptions {
   readonly context: GatewayContext;
   readonly directory: ReplicaDirectory;
@@ -22,11 +25,11 @@
   readonly stopped: AbortSignal;
 }
 
-/** See the module comment. */
+/** Starts the background tasks; each ends by itself when the gateway stops. */
 export class GatewayMaintenance {
   constructor(private readonly parts: GatewayMaintenanceOptions) {}
 
-  /** Runs until stopped. */
+  /** Starts all tasks; they run until `stopped` is aborted. */
   start(): void {
     const { context, logger, stopped } = this.parts;
     const { environment, mechanisms, traffic } = context;
--- a/src/gateway/gateway-metrics.ts
+++ b/src/gateway/gateway-metrics.ts
@@ -1,10 +1,10 @@
-/** Counters and histograms of the gateway. */
+/** Prometheus metrics of a gateway's requests, attempts and gathers. */
 import { Counter, Gauge, Histogram, type Registry } from 'prom-client';
 
 /** Upper bounds of the latency buckets. Seconds. */
 const LATENCY_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
 
-/** See the module comment. */
+/** Registers all metrics with the registry when created; create it once per registry. */
 export class GatewayMetrics {
   readonly requests: Counter<'status'>;
   readonly refusals: Counter<'reason'>;
@@ -23,7 +23,7 @@
     const registers = [registry];
     this.requests = new Counter({
       name: 'driftway_gateway_requests_total',
-      help: 'Requests of callers, by the status of their answer.',
+      help: 'Requests from callers, by response status.',
       labelNames: ['status'],
       registers,
     });
@@ -41,50 +41,50 @@
     });
     this.attempts = new Counter({
       name: 'driftway_gateway_attempts_total',
-      help: 'Sendings to replicas, by what became of them.',
+      help: 'Attempts sent to replicas, by result.',
       labelNames: ['result'],
       registers,
     });
     this.hedges = new Counter({
       name: 'driftway_gateway_hedges_total',
-      help: 'Sendings to a second replica because the first was late.',
+      help: 'Hedges: attempts sent to a second replica because the first was late.',
       registers,
     });
     this.missingParts = new Counter({
       name: 'driftway_gateway_missing_parts_total',
-      help: 'Shards that merged answers lacked.',
+      help: 'Shards missing from merged responses.',
       registers,
     });
     this.gathers = new Counter({
       name: 'driftway_gateway_gathers_total',
-      help: 'Groups of shards that other gateways asked for, by whether they were begun.',
+      help: 'Shard groups that other gateways requested, by whether the gather was started.',
       labelNames: ['result'],
       registers,
     });
     this.gathersRepeated = new Counter({
       name: 'driftway_gateway_gathers_repeated_total',
-      help: 'Groups of shards that another gateway was asked for because the first was silent.',
+      help: 'Shard groups requested from another gateway because the first did not respond.',
       registers,
     });
     this.unreadableReports = new Counter({
       name: 'driftway_gateway_unreadable_load_reports_total',
-      help: 'Load reports of replicas that were not in a known form.',
+      help: 'Load reports from replicas that could not be parsed.',
       registers,
     });
     this.latency = new Histogram({
       name: 'driftway_gateway_latency_seconds',
-      help: 'Time from a request to its answer.',
+      help: 'Time from receipt of a request to its response.',
       buckets: LATENCY_BUCKETS,
       registers,
     });
     this.evacuatedZones = new Gauge({
       name: 'driftway_gateway_evacuated_zones',
-      help: 'Zones to whose replicas nothing new is sent.',
+      help: 'Evacuated zones, whose replicas get no new requests.',
       registers,
     });
     this.routeVersion = new Gauge({
       name: 'driftway_gateway_route_version',
-      help: 'Version of the route document in force here.',
+      help: 'Version of the route document in force at this gateway.',
       registers,
     });
   }
--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway needs for requests of tenants: its lease to accept API keys, renewed by what the
- * controllers answer, and its part in the limits of the tenants.
+ * Tenant support of a gateway: the authorization lease for API keys, renewed by the controllers'
+ * confirmations, and the gateway's share in enforcing tenant limits.
  */
 import type { GatewayConfiguration } from '../configuration/gateway-configuration.js';
 import { observe } from '../control-stream/observe.js';
@@ -15,23 +15,23 @@
 import { LeaseRenewal } from '../tenants/lease-renewal.js';
 import { UNLIMITED_QUOTA, type TenantQuota } from '../tenants/tenant-quota.js';
 
-/** What it is made of. */
+/** Settings and collaborators of {@link GatewayTenants}. */
 export interface GatewayTenantsOptions {
   readonly environment: Environment;
   readonly settings: GatewayConfiguration['tenants'];
   readonly identity: LocalIdentity;
   readonly telemetry: Telemetry;
-  /** By which the controllers are asked. */
+  /** Carries the renewal requests to the controllers. */
   readonly client: DirectoryClient;
-  /** Ends the renewal of the lease. */
+  /** Aborted when the gateway stops; ends the lease renewal. */
   readonly stopped: AbortSignal;
 }
 
-/** See the module comment. */
+/** Provides the lease and the quota for the gateway's context; each is a no-op where it is not configured. */
 export class GatewayTenants {
-  /** Absent where the time of a revocation is not bounded. */
+  /** Undefined where no time limit for key revocations is configured. */
   private readonly leaseRenewal: LeaseRenewal | undefined;
-  /** Absent where the limits of tenants are not kept. */
+  /** Undefined where tenant limits are not enforced. */
   private readonly gatewayQuota: GatewayQuota | undefined;
 
   constructor(private readonly options: GatewayTenantsOptions) {
@@ -39,35 +39,35 @@
     this.gatewayQuota = this.createQuota();
   }
 
-  /** The right to accept API keys. */
+  /** The lease that the gateway must hold to accept API keys. */
   get lease(): AuthorizationLease {
     return this.leaseRenewal ?? UNBOUNDED_LEASE;
   }
 
-  /** Decides which requests of tenants are passed on. */
+  /** Decides which requests are within their tenant's limit. */
   get quota(): TenantQuota {
     return this.gatewayQuota?.client ?? UNLIMITED_QUOTA;
   }
 
-  /** Takes from now on what the controllers answer to the renewal of the lease. */
+  /** Subscribes to the controllers' confirmations of lease renewals. Call it once, before the client starts. */
   observeControllers(): void {
     const { followed, confirmations } = this.options.client;
     observe(followed, () => this.leaseRenewal?.noteFollowed());
     observe(confirmations, ({ number, version }) => this.leaseRenewal?.takeAnswer(number, version));
   }
 
-  /** A table has come into force. */
+  /** Applies a route table that has come into force: its version, and its tenants' limits. */
   useTable(table: RouteTable): void {
     this.leaseRenewal?.useTable(table);
     this.gatewayQuota?.useTenants(table.tenants);
   }
 
-  /** Renews the lease until stopped. */
+  /** Renews the lease until the gateway stops. */
   async renewLease(): Promise<void> {
     await this.leaseRenewal?.run();
   }
 
-  /** Closes the connection to the owner of the limits. */
+  /** Closes the connection to the quota owner. */
   async stop(): Promise<void> {
     await this.gatewayQuota?.stop();
   }
--- a/src/gateway/health-endpoint.ts
+++ b/src/gateway/health-endpoint.ts
@@ -1,8 +1,8 @@
-/** What a gateway answers at its health address: `/readyz`, `/livez` and `/metrics`. */
+/** Serves the gateway's health address: `/readyz`, `/livez` and `/metrics`. */
 import type { Registry } from 'prom-client';
 import type { HttpRequest, HttpResponse } from '../seams/http.js';
 
-/** Bounds of the health listener. */
+/** Limits of the health listener. Sizes in bytes, times in milliseconds. */
 export const HEALTH_LISTENER_OPTIONS = {
   maximumBodyBytes: 1_024,
   maximumHeaderBytes: 8_192,
@@ -10,14 +10,14 @@
   maximumConnections: 100,
 };
 
-/** What decides whether the gateway calls itself ready. */
+/** State on which readiness depends, and the metrics to serve. */
 export interface HealthSources {
   readonly registry: Registry;
   readonly isStopping: () => boolean;
   readonly hasRoutes: () => boolean;
-  /** Whether a controller that knew of a quorum lately is followed. */
+  /** Whether the gateway follows a controller that had contact with a quorum recently. */
   readonly isFresh: () => boolean;
-  /** False while requests need API keys and none is accepted. */
+  /** False while requests need API keys and the gateway accepts none. */
   readonly acceptsKeys: () => boolean;
 }
 
@@ -25,7 +25,7 @@
   return { status, headers: { 'content-type': 'text/plain' }, body };
 }
 
-/** See the module comment. */
+/** Remembers whether the gateway has been ready, see `readyz`. */
 export class HealthEndpoint {
   private wasReady = false;
 
@@ -38,7 +38,7 @@
     return textResponse(404, 'no such path\n');
   }
 
-  /** Once it was ready, being cut off from the controllers alone does not make it useless. */
+  /** A gateway that was ready once stays ready without fresh controllers: it can still serve requests. */
   private readyz(): HttpResponse {
     const { isStopping, hasRoutes, isFresh, acceptsKeys } = this.sources;
     if (isStopping()) return textResponse(503, 'stopping\n');
--- a/src/gateway/merge-records.ts
+++ b/src/gateway/merge-records.ts
@@ -1,11 +1,11 @@
-/** Merges the records of several parts: the greatest ones, the greatest first. */
+/** Merges the greatest records of several parts in descending order. */
 
-/** Size of a record; what is left at the end of a part is no record. Bytes. */
+/** Size of a record; a shorter remainder at the end of a part is ignored. Bytes. */
 export const RECORD_BYTES = 16;
-/** Leading bytes of a record that fit a number exactly. */
+/** Leading bytes of a record that a number represents exactly. */
 const KEY_PREFIX_BYTES = 6;
 
-/** Where a record lies. */
+/** Position of a record in its part. */
 interface RecordPosition {
   readonly part: Buffer;
   readonly offset: number;
@@ -25,7 +25,7 @@
   return parts.reduce((sum, part) => sum + Math.floor(part.length / RECORD_BYTES), 0);
 }
 
-/** The leading bytes of every record, as numbers that compare as the bytes do. */
+/** The leading bytes of every record as numbers, which sort in the same order as the bytes. */
 function readKeyPrefixes(parts: readonly Buffer[], total: number): Float64Array {
   const keys = new Float64Array(total);
   let index = 0;
@@ -39,42 +39,42 @@
   return keys;
 }
 
-/** The key that the record of rank `count` has; records below it are not among the greatest. */
+/** The key of the record with rank `count`; records with a lower key are not among the greatest. */
 function thresholdKey(keys: Float64Array, count: number): number {
   if (keys.length <= count) return 0;
   return keys.slice().sort()[keys.length - count] ?? 0;
 }
 
-/** The records whose key is `least` or greater. */
+/** Positions of the records whose key is `threshold` or greater. */
 function selectCandidates(
   parts: readonly Buffer[],
   keys: Float64Array,
-  least: number,
+  threshold: number,
 ): RecordPosition[] {
-  const places: RecordPosition[] = [];
+  const candidates: RecordPosition[] = [];
   let index = 0;
   for (const part of parts) {
     const last = part.length - RECORD_BYTES;
     for (let offset = 0; offset <= last; offset += RECORD_BYTES) {
-      if ((keys[index] ?? 0) >= least) places.push({ part, offset });
+      if ((keys[index] ?? 0) >= threshold) candidates.push({ part, offset });
       index += 1;
     }
   }
-  return places;
+  return candidates;
 }
 
 /**
- * The greatest `count` records of all parts, compared byte by byte, falling.
- * Equal records all count. Only records that can be among them are compared in
- * full: parts hold many times as many.
+ * Returns the greatest `count` records of all parts in descending byte order. Equal records are all
+ * kept. Only records that can be among the greatest are compared in full, because the parts hold
+ * many times `count` records.
  */
 export function mergeRecords(parts: readonly Uint8Array[], count: number): Uint8Array {
   if (count === 0) return new Uint8Array(0);
   const buffers = parts.map((part) => Buffer.from(part.buffer, part.byteOffset, part.byteLength));
   const keys = readKeyPrefixes(buffers, countRecords(buffers));
-  const places = selectCandidates(buffers, keys, thresholdKey(keys, count));
-  places.sort(compareDescending);
-  const greatest = places.slice(0, count);
+  const candidates = selectCandidates(buffers, keys, thresholdKey(keys, count));
+  candidates.sort(compareDescending);
+  const greatest = candidates.slice(0, count);
   return Buffer.concat(
     greatest.map(({ part, offset }) => part.subarray(offset, offset + RECORD_BYTES)),
   );
--- a/src/gateway/part-source.ts
+++ b/src/gateway/part-source.ts
@@ -1,7 +1,7 @@
-/** Where the parts of a merged answer come from: replicas asked from here, or another gateway. */
+/** Sources of the parts of a merged response: replicas that this gateway asks itself, or another gateway. */
 import type { LogFields } from '../observability/logger.js';
 
-/** Parts of one or more shards; their records merged when there are several. */
+/** Parts of one or more shards. With several shards the records are already merged. */
 export interface GatheredParts {
   readonly shards: readonly string[];
   /** The replicas' signatures, in the order of the shards. */
@@ -9,25 +9,26 @@
   readonly records: Uint8Array;
 }
 
-/** Who waits for the parts of a source. */
+/** Receives the parts of a source. */
 export interface PartListener {
-  /** Each shard is in at most one call. */
+  /** Called when parts arrive; each shard occurs in at most one call. */
   onParts(parts: GatheredParts): void;
-  /** No part of these shards will come. */
+  /** Called when no part of these shards will arrive. */
   onFailed(shards: readonly string[]): void;
 }
 
-/** Asks a set of shards. */
+/** Requests the parts of a set of shards. */
 export interface PartSource {
+  /** Sends the first requests; the listener may be called before `start` returns. */
   start(): void;
-  /** Stops asking; `reason` is logged where an attempt has none of its own. */
+  /** Cancels all attempts; `reason` is logged for attempts that have no reason of their own. */
   cancel(reason: string): void;
-  /** Requests to replicas so far, as far as they are known here. */
+  /** Number of attempts sent to replicas so far, as far as this gateway knows. */
   readonly sends: number;
-  /** Whether any replica was offered the request, or may have been. */
+  /** Whether the request was sent to any replica, or may have been. */
   readonly mayHaveSent: boolean;
   /** Whether a replica may have run the request, or may still run it. */
   readonly mayRun: boolean;
-  /** Attempts that brought no part, for the log. `receivedAt` is the request's. */
+  /** Log fields of the attempts for shards without a part; times count from the request's `receivedAt`. */
   missingAttempts(receivedAt: number): readonly LogFields[];
 }
--- a/src/gateway/planned-stop.ts
+++ b/src/gateway/planned-stop.ts
@@ -1,25 +1,26 @@
-/** The part of a planned stop in which callers are sent elsewhere and answered. */
+/** The phase of a planned stop in which callers move to other gateways and requests in flight are answered. */
 import type { Clock } from '../seams/clock.js';
 
-/** Of the grace for a stop: until new connections end, and until the last answer is given. */
+/** Fraction of the grace period during which new connections are accepted. */
 const ACCEPTING_FRACTION = 0.6;
+/** Fraction of the grace period by whose end the last response is sent. */
 const DRAIN_FRACTION = 0.9;
 const DRAIN_POLL_INTERVAL_MS = 50;
 
-/** What is stopped. */
+/** The listener to drain, and the time for it. */
 export interface DrainOptions {
   readonly clock: Clock;
-  /** Time for the whole stop. Milliseconds. */
+  /** Grace period of the whole stop. Milliseconds. */
   readonly graceMs: number;
-  /** Requests that have no answer yet. */
+  /** Returns the number of unanswered requests. */
   readonly inFlight: () => number;
-  /** Takes no new connections any more and closes idle ones; resolves when all are closed. */
+  /** Stops accepting connections and closes idle ones; resolves when all connections are closed. */
   readonly closeListener: () => Promise<void> | undefined;
 }
 
 /**
- * Serves new requests for a part of the grace, in which callers see that the gateway is not ready;
- * then closes idle connections and waits for the answers of the requests in flight.
+ * Keeps serving new requests for part of the grace period, while callers see that the gateway is not
+ * ready; then closes idle connections and waits until the requests in flight are answered.
  */
 export async function drainCallers(parts: DrainOptions): Promise<void> {
   const { clock, graceMs, inFlight, closeListener } = parts;
@@ -29,7 +30,7 @@
   while (inFlight() > 0 && clock.now() - startedAt < graceMs * DRAIN_FRACTION) {
     await clock.sleep(DRAIN_POLL_INTERVAL_MS);
   }
-  // Requests whose bodies are still on their way are in flight at the listener alone.
+  // `inFlight` does not count requests whose bodies are still being received; only the listener does.
   const remainingMs = Math.max(
     DRAIN_POLL_INTERVAL_MS,
     startedAt + graceMs * DRAIN_FRACTION - clock.now(),
