--- a/src/configuration/gateway-mechanisms.ts
+++ b/src/configuration/gateway-mechanisms.ts
@@ -24,7 +24,7 @@
     /** Late shards are looked at a second time. */
     secondHedge: switchSchema,
     /** A merged answer that holds enough leaves before the target, without late shards. */
-    onCutOff: switchSchema,
+    cutOff: switchSchema,
     /** That answer leaves the earlier the later timers run here. */
     learnedMargin: switchSchema,
     /** An attempt whose answer is not wanted any more may end by itself for a moment. */
--- a/src/evacuations/evacuated-zones.ts
+++ b/src/evacuations/evacuated-zones.ts
@@ -12,7 +12,7 @@
   }
 
   /** Takes a controller's word; true when it was newer than what was known. */
-  apply(word: ZoneEvacuation): boolean {
+  take(word: ZoneEvacuation): boolean {
     const known = this.byZone.get(word.zone);
     if (known !== undefined && known.revision >= word.revision) return false;
     this.byZone.set(word.zone, word);
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -14,8 +14,8 @@
   ) {}
 
   /** Applies a zone's order from a controller; an order older than the known one has no effect. */
-  apply(evacuation: ZoneEvacuation): void {
-    if (!this.evacuatedZones.apply(evacuation)) return;
+  take(evacuation: ZoneEvacuation): void {
+    if (!this.evacuatedZones.take(evacuation)) return;
     const { zones } = this.evacuatedZones;
     this.context.targets.useEvacuatedZones(zones);
     this.context.metrics.evacuatedZones.set(zones.size);
--- a/src/gateway/fan-out.ts
+++ b/src/gateway/fan-out.ts
@@ -101,9 +101,9 @@
     const { clock } = environment;
     const { receivedAt, deadline, route } = this.request;
     const target = targetLatencyOf(route);
-    if (mechanisms.onCutOff) {
+    if (mechanisms.cutOff) {
       const cutOffAt = Math.max(clock.now(), receivedAt + answerMargin.cutOffDelay(target));
-      this.timers.push(clock.setTimer(cutOffAt - clock.now(), () => this.onCutOff(cutOffAt)));
+      this.timers.push(clock.setTimer(cutOffAt - clock.now(), () => this.cutOff(cutOffAt)));
     }
     this.timers.push(
       clock.setTimer(target * UNSENT_REFUSAL_FRACTION, () => this.refuseIfUnsent()),
@@ -120,7 +120,7 @@
   }
 
   /** From the cut-off on, a response with enough shards is returned without waiting for the rest. */
-  private onCutOff(dueAt: number): void {
+  private cutOff(dueAt: number): void {
     this.context.answerMargin.noteTimer(this.context.environment.clock.now() - dueAt);
     this.isPastCutOff = true;
     this.finishIfDecided();
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -48,7 +48,7 @@
   private readonly shutdown = new AbortController();
   private isStopping = false;
   private callerListener: HttpListener | undefined;
-  private healthListener: HttpListener | undefined;
+  private health: HttpListener | undefined;
 
   private constructor(
     private readonly environment: Environment,
@@ -82,7 +82,7 @@
     );
     observe(this.client.documents, (document) => this.applyDocument(document));
     const evacuations = new EvacuationsInForce(this.context, this.logger);
-    observe(this.client.evacuations, (evacuation) => evacuations.apply(evacuation));
+    observe(this.client.evacuations, (evacuation) => evacuations.take(evacuation));
     this.tenants.observeControllers();
     observe(this.client.quarantine, (entry) => this.context.crashGuard.take(entry));
   }
@@ -151,7 +151,7 @@
   /** Closes everything but the listener for callers, which a planned stop drains first. */
   private async release(): Promise<void> {
     this.shutdown.abort(new Error('stopped'));
-    await this.healthListener?.close();
+    await this.health?.close();
     await this.client.stop();
     await this.tenants.stop();
     await this.aggregation.close();
@@ -226,7 +226,7 @@
       this.serve(request),
     );
     const health = this.createHealthEndpoint();
-    this.healthListener = await network.listenHttp(
+    this.health = await network.listenHttp(
       listen.health,
       HEALTH_LISTENER_OPTIONS,
       (request) => health.handle(request),
--- a/test/gateway/mechanisms.test.ts
+++ b/test/gateway/mechanisms.test.ts
@@ -49,7 +49,7 @@
 });
 
 it('waits for late shards until the deadline when the cut-off is off', async () => {
-  const { harness, replicas } = await start(SHARDS, { onCutOff: false }, 1);
+  const { harness, replicas } = await start(SHARDS, { cutOff: false }, 1);
   const [slow] = replicas;
   if (slow !== undefined) slow.workMs = LATE_MS;
   const answer = await harness.call({ path: '/q/1' });
