--- a/src/gateway/caller-request.ts
+++ b/src/gateway/caller-request.ts
@@ -4,7 +4,7 @@
 import type { Tenant } from '../tenants/tenant.js';
 import type { HttpHeaders } from '../seams/http.js';
 
-/** Immutable: every attempt, hedge and gather for the request reads the same object. */
+/** Immutable, and shared by all attempts of the request at this gateway. */
 export interface CallerRequest {
   readonly id: string;
   readonly method: string;
--- a/src/gateway/forward-single.ts
+++ b/src/gateway/forward-single.ts
@@ -72,7 +72,10 @@
     ];
   }
 
-  /** Counts from the start of forwarding: earlier delays are not caused by a replica. Milliseconds. */
+  /**
+   * Maximum wait for a connection. Counts from the start of forwarding, because replicas do not
+   * cause earlier delays. Milliseconds.
+   */
   private readonly connectWithin = (): number => {
     const elapsed = this.context.environment.clock.now() - this.startedAt;
     return longestConnect(this.targetLatency, this.race.wasOffered ? undefined : elapsed);
@@ -114,7 +117,8 @@
 
   private responseOf(outcome: RaceOutcome): HttpResponse {
     if (outcome.answer !== undefined) return outcome.answer;
-    if (outcome.kind === 'answered') throw new Error('a race with the outcome "answered" holds no answer');
+    if (outcome.kind === 'answered')
+      throw new Error('a race with the outcome "answered" holds no answer');
     if (!outcome.mayHaveRun) return refuseNotRun(outcome.reason, this.admission.retryAfterMs);
     const refusal = this.isDeadlinePassed ? GatewayRefusal.TimedOut : GatewayRefusal.Failed;
     return refuse(refusal, outcome.reason);
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Starts a gateway; resolves once it listens. It follows the controllers from then on.
+   * Starts a gateway that follows the controllers; resolves once it listens.
    *
    * @throws ConnectionError when it cannot listen on one of its addresses.
    */
@@ -112,7 +112,8 @@
 
   /** Address on which the gateway accepts callers. Throws before the gateway listens. */
   get address(): Address {
-    if (this.callerListener === undefined) throw new Error('the gateway is not listening for callers yet');
+    if (this.callerListener === undefined)
+      throw new Error('the gateway is not listening for callers yet');
     return this.callerListener.address;
   }
 
@@ -226,10 +227,8 @@
       this.serve(request),
     );
     const health = this.createHealthEndpoint();
-    this.health = await network.listenHttp(
-      listen.health,
-      HEALTH_LISTENER_OPTIONS,
-      (request) => health.handle(request),
+    this.health = await network.listenHttp(listen.health, HEALTH_LISTENER_OPTIONS, (request) =>
+      health.handle(request),
     );
     void this.tenants.renewLease();
     this.startMaintenance();
--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -41,7 +41,7 @@
   readonly retryAfterMs?: number;
 }
 
-/** Counts and times every request that it handles; routes and tables can change while it serves. */
+/** Serves callers while the table in force may change; counts and times each request. */
 export class GatewayEndpoint {
   private readonly tableInForce: TableInForce;
   /** Number of unanswered requests. */
@@ -213,7 +213,7 @@
     return tenants === undefined ? headers : withTenant(headers, this.context.headers, tenant);
   }
 
-  /** Timeout from the caller's deadline header; Infinity when absent or not positive. Milliseconds. */
+  /** Timeout from the caller's deadline header; Infinity when absent or invalid. Milliseconds. */
   private callerTimeoutMs(request: HttpRequest): number {
     const stated = Number(request.headers[this.context.headers.deadline] ?? Infinity);
     return stated > 0 ? stated : Infinity;
--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -49,7 +49,7 @@
     return this.gatewayQuota?.client ?? UNLIMITED_QUOTA;
   }
 
-  /** Subscribes to the controllers' confirmations of lease renewals. Call it once, before the client starts. */
+  /** Subscribes to the controllers' confirmations of lease renewals. Call it once. */
   observeControllers(): void {
     const { followed, confirmations } = this.options.client;
     observe(followed, () => this.leaseRenewal?.noteFollowed());
--- a/src/gateway/request-decisions.ts
+++ b/src/gateway/request-decisions.ts
@@ -1,4 +1,4 @@
-/** Writes what became of a request, with what decided it. */
+/** Writes the decision log lines of a gateway: how each request ended, and why. */
 import { DecisionKind, type DecisionLog } from '../observability/decision-log.js';
 import type { LogFields } from '../observability/logger.js';
 import type { Clock } from '../seams/clock.js';
@@ -12,34 +12,34 @@
 import { targetLatencyOf } from './route-latencies.js';
 import type { UnreadableReport } from './send-attempt.js';
 
-/** How a fan-out ended. */
+/** Outcome of a fan-out; all fields but `sources` are log fields. */
 export interface FanOutSummary {
   readonly status: number;
-  /** Why it ended then. */
+  /** Why the fan-out ended. */
   readonly reason: string;
   readonly shards: number;
-  /** Shards that the answer lacks. */
+  /** Number of shards missing from the response. */
   readonly missing: number;
-  /** Sendings to replicas, of all shards together. */
+  /** Number of attempts over all shards. */
   readonly sends: number;
-  /** Who asked the shards. */
+  /** The sources that asked the shards. */
   readonly sources: readonly PartSource[];
 }
 
-/** How a gather for another gateway ended. */
+/** Outcome of a gather for another gateway; all fields are log fields. */
 export interface GatherSummary {
-  /** The gateway that asked for it. */
+  /** The gateway that requested the gather. */
   readonly root: string;
-  /** Of the route document that the root works by. */
+  /** Version of the route document that the root uses. */
   readonly rootRouteVersion: number;
   readonly shards: number;
   readonly missing: number;
   readonly sends: number;
-  /** Why it ended. */
+  /** Why the gather ended. */
   readonly reason: string;
 }
 
-/** Most attempts that brought no part that a line shows. */
+/** Maximum attempts without a part in one log line. */
 const MAXIMUM_LOGGED_ATTEMPTS = 8;
 
 const FIRST_FAILURE_STATUS = 300;
@@ -62,22 +62,22 @@
   return sends > 1 ? DecisionKind.Hedged : DecisionKind.Answered;
 }
 
-/** Longest part of a load report that a line shows. */
+/** Longer load reports are truncated in the log. */
 const MAXIMUM_LOGGED_REPORT_CHARACTERS = 60;
-/** Longest part of a path that a line shows. */
+/** Longer paths are truncated in the log. */
 const MAXIMUM_LOGGED_PATH_CHARACTERS = 120;
 
-/** A request that the gateway answered by itself, before any replica was chosen. */
+/** A request that the gateway refused before it chose a replica. */
 export interface RejectedRequest {
   readonly request: HttpRequest;
-  /** Undefined when it named none. */
+  /** The caller's request id; undefined when the request carried none. */
   readonly requestId: string | undefined;
-  /** Of what it asks; undefined where it was refused before that was looked at. */
+  /** Undefined when the request was refused before its fingerprint was computed. */
   readonly fingerprint: string | undefined;
   readonly refusal: GatewayRefusal;
   readonly reason: string;
   readonly status: number;
-  /** Of the route document in force; undefined while there is none. */
+  /** Version of the route document in force; undefined while there is none. */
   readonly routeVersion: number | undefined;
 }
 
@@ -85,14 +85,14 @@
   return race.attempts.map((attempt) => attemptFields(attempt, receivedAt));
 }
 
-/** See the module comment. */
+/** One method per kind of event; each writes at most one line, within the line budget of the log. */
 export class RequestDecisions {
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLog,
   ) {}
 
-  /** A request to one service ended. */
+  /** Logs the end of a request to one service. */
   logSingleRequest(request: CallerRequest, race: ReplicaRace, outcome: RaceOutcome): void {
     this.log.write(kindOfRace(outcome, race.sends, this.isLate(request)), () => ({
       ...this.commonFields(request),
@@ -103,7 +103,7 @@
     }));
   }
 
-  /** A request to all shards of a route ended. */
+  /** Logs the end of a request to all shards of a route. */
   logFanOut(request: CallerRequest, { sources, ...summary }: FanOutSummary): void {
     const kind = kindOfFanOut(summary, this.isLate(request));
     this.log.write(kind, () => ({
@@ -115,7 +115,7 @@
     }));
   }
 
-  /** Shards were asked for another gateway, and not all of them answered at the first sending. */
+  /** Logs a gather for another gateway in which not every shard answered its first attempt. */
   logGather(request: CallerRequest, source: PartSource, summary: GatherSummary): void {
     this.log.write(DecisionKind.Gathered, () => ({
       ...this.commonFields(request),
@@ -124,7 +124,7 @@
     }));
   }
 
-  /** The connection to a replica ended without an answer while it had the request. */
+  /** Logs the loss of a connection to a replica that had received the request and not answered. */
   logConnectionLost(request: CallerRequest, service: string, attempt: AttemptRecord): void {
     this.log.write(DecisionKind.ConnectionLost, () => ({
       requestId: request.id,
@@ -134,7 +134,7 @@
     }));
   }
 
-  /** A request was answered without being forwarded. */
+  /** Logs a request that was refused without being forwarded. */
   logNotForwarded(rejected: RejectedRequest): void {
     const { request, requestId, fingerprint, refusal, reason, status, routeVersion } = rejected;
     this.log.write(DecisionKind.NotForwarded, () => ({
@@ -149,12 +149,12 @@
     }));
   }
 
-  /** The listener refused what it could not read as a request, before it had an id. */
+  /** Logs input that the listener could not parse as a request, so that it has no request id. */
   logNotRead({ status, remoteAddress }: RefusedRequest): void {
     this.log.write(DecisionKind.NotRead, () => ({ status, remoteAddress }));
   }
 
-  /** A replica said of its load what is not understood here; it is chosen as if it had said nothing. */
+  /** Logs a load report that could not be parsed; the replica is treated as if it had sent none. */
   logUnreadableReport({ replicaId, text }: UnreadableReport): void {
     this.log.write(DecisionKind.UnreadableReport, () => ({
       replicaId,
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -1,4 +1,4 @@
-/** Asks one replica of each of some shards, and further ones of those that are late or fail. */
+/** Sends a request to one replica of each given shard, and to further replicas of shards that are late or fail. */
 import type { LogFields } from '../observability/logger.js';
 import type { Timer } from '../seams/clock.js';
 import { attemptFields } from './attempt-record.js';
@@ -8,25 +8,28 @@
 import { ReplicaRace, type ReplicaRaceOptions } from './replica-race.js';
 import { targetLatencyOf } from './route-latencies.js';
 
-/** After this part of the target, late shards are looked at once more. */
+/** Delay of the second hedge after the first, as a fraction of the target latency. */
 const SECOND_HEDGE_FRACTION = 0.15;
-/** Shards whose replicas could not take the request are tried again within this part of it. */
+/** Shards whose replicas could not accept the request are retried within this fraction of the target latency. */
 const RETRY_FRACTION = 0.6;
-/** A merged answer is worth the square of the share of its shards, so each shard weighs twice its share. */
+/**
+ * The worth of a merged response is the square of the fraction of shards that it holds, so losing
+ * one shard costs about twice that shard's fraction.
+ */
 const COVERAGE_EXPONENT = 2;
 
-/** What is asked. */
+/** The shards to ask and how their attempts count. */
 export interface ShardGatherOptions {
   readonly shards: readonly string[];
-  /** Shards of the whole request; more than `shards` where other gateways ask the rest. */
+  /** Number of shards of the whole request; more than `shards` where other gateways ask the rest. */
   readonly totalShards: number;
-  /** Another gateway may have sent the request to these shards: every sending counts as a further one. */
+  /** Another gateway may have sent the request to these shards, so every attempt counts as a second send. */
   readonly isRepeat: boolean;
-  /** Of each shard's race. */
+  /** Passed to the race of each shard. */
   readonly maySendAgain?: ReplicaRaceOptions['maySendAgain'];
 }
 
-/** See the module comment. */
+/** Runs one {@link ReplicaRace} per shard and reports each part as it arrives. */
 export class ShardGather implements PartSource {
   private readonly races: ReplicaRace[] = [];
   private readonly timers: Timer[] = [];
@@ -76,7 +79,7 @@
     const { hedgeDelay } = this.context.latencies.of(route);
     this.timers.push(clock.setTimer(hedgeDelay, () => this.hedge()));
     if (!this.context.mechanisms.secondHedge) return;
-    // For those that found no room or no budget the first time.
+    // Covers shards for which the first hedge found no replica with room or no budget.
     const secondHedgeDelay = hedgeDelay + targetLatencyOf(route) * SECOND_HEDGE_FRACTION;
     this.timers.push(clock.setTimer(secondHedgeDelay, () => this.hedge()));
   }
@@ -106,7 +109,7 @@
     }
   }
 
-  /** Asks a second replica of each shard that has not answered yet. */
+  /** Sends to a second replica of each shard that has not answered yet. */
   hedge(): void {
     for (const race of this.races) {
       if (race.hedge()) this.context.metrics.hedges.inc();
--- a/src/gateway/table-in-force.ts
+++ b/src/gateway/table-in-force.ts
@@ -1,22 +1,22 @@
 /**
- * The route table in force. A gateway that has just started gets its first one
- * within moments; requests that come before wait for it for a bounded part of
- * the time they have, since it is served then. Afterwards, or when it takes
- * longer, they are refused at once.
+ * The route table in force. A gateway that has just started receives its first table within
+ * moments, so requests that arrive earlier wait for it, for a bounded fraction of their timeout.
+ * Later requests without a table are refused at once.
  */
 import type { RouteTable } from '../routes/route-table.js';
 import type { Clock } from '../seams/clock.js';
 
-/** How long after its start a gateway expects its first table any moment. Milliseconds. */
+/** Time after the start within which requests wait for the first table. Milliseconds. */
 const STARTUP_MS = 3_000;
-/** Longest wait, as a part of the time that the caller has, and in milliseconds. */
+/** Maximum wait as a fraction of the caller's timeout; {@link MAXIMUM_WAIT_MS} applies as well. */
 const MAXIMUM_WAIT_FRACTION = 0.25;
 const MAXIMUM_WAIT_MS = 400;
-/** Requests that may wait at once; further ones are refused at once. */
+/** Requests beyond this number of waiting ones are refused at once. */
 const MAXIMUM_WAITING_REQUESTS = 500;
 
-/** See the module comment. */
+/** Create it when the gateway starts: the startup time counts from its construction. */
 export class TableInForce {
+  /** Undefined before the first table. */
   current: RouteTable | undefined;
   private readonly startedAt: number;
   private readonly waiting = new Set<(table: RouteTable) => void>();
@@ -25,13 +25,17 @@
     this.startedAt = clock.now();
   }
 
+  /** Puts a table in force and wakes all waiting requests. */
   use(table: RouteTable): void {
     this.current = table;
     for (const resolve of this.waiting) resolve(table);
     this.waiting.clear();
   }
 
-  /** The first table, once it is there; undefined when it is not worth the wait. */
+  /**
+   * Waits for the first table. Resolves with undefined when the maximum wait passes, and at once when
+   * the startup time is over or too many requests are waiting.
+   */
   waitForFirst(callerTimeoutMs: number): Promise<RouteTable | undefined> {
     const isStarting = this.clock.now() - this.startedAt < STARTUP_MS;
     if (!isStarting || this.waiting.size >= MAXIMUM_WAITING_REQUESTS)
--- a/src/gateway/tenant-headers.ts
+++ b/src/gateway/tenant-headers.ts
@@ -1,17 +1,20 @@
 /**
- * What replicas are told of a request's tenant: its name, from the key alone. No key goes on, and
- * no name that a caller claims.
+ * Sets the header that tells replicas the tenant of a request. The name is derived from the API key
+ * alone; the key itself and a tenant name sent by the caller are not forwarded.
  */
 import type { HttpHeaders } from '../seams/http.js';
 import type { Tenant } from '../tenants/tenant.js';
 import type { ExchangeHeaders } from './exchange-headers.js';
 
-/** Back ends that hand headers on as variables take `_` and `-` for the same. */
+/** Back ends that expose headers as variables do not distinguish `_` from `-`. */
 function normalizeHeaderName(name: string): string {
   return name.replaceAll('_', '-');
 }
 
-/** For documents that name tenants. Names of `headers` are in lower case. */
+/**
+ * Returns `headers` without any key or tenant header, plus the tenant's name if there is a tenant.
+ * Use it only where the route document names tenants. The names in `headers` are in lower case.
+ */
 export function withTenant(
   headers: HttpHeaders,
   { apiKey, tenant: tenantHeader }: ExchangeHeaders,
--- a/src/gateway/zone-regions.ts
+++ b/src/gateway/zone-regions.ts
@@ -1,26 +1,26 @@
-/** In which region each zone lies, and where the requests of a route may go. */
+/** The region of each zone, and the restriction of a route's requests to its allowed regions. */
 import type { Route } from '../routes/route-document.js';
 import type { ReplicaTarget } from './replica-target.js';
 
-/** See the module comment. */
+/** Excludes zones without a known region wherever a route restricts regions. */
 export class ZoneRegions {
   private readonly regions: ReadonlyMap<string, string>;
 
   constructor(
-    /** By zone; the gateway's own zone is added. */
+    /** Region by zone name; the gateway's own zone is added. */
     regionOfZone: Readonly<Record<string, string>>,
     own: { readonly zone: string; readonly region: string },
   ) {
     this.regions = new Map([...Object.entries(regionOfZone), [own.zone, own.region]]);
   }
 
-  /** Whether some zone is closed to the route, or may be because its region is not known. */
+  /** Whether the region of some known zone is not allowed for the route. */
   restricts({ allowedRegions }: Route): boolean {
     if (allowedRegions === undefined) return false;
     return [...this.regions.values()].some((region) => !allowedRegions.includes(region));
   }
 
-  /** Those of `targets` that may get requests of the route. */
+  /** Filters `targets` to those in regions that the route allows. */
   permitted(
     { allowedRegions }: Route,
     targets: readonly ReplicaTarget[],
--- a/test/gateway/authentication.test.ts
+++ b/test/gateway/authentication.test.ts
@@ -41,19 +41,19 @@
 }
 
 describe('authenticate', () => {
-  it('refuses two keys, also when they are the same', () => {
+  it('refuses a repeated key header even when both keys are the same', () => {
     const request = requestWith({ [KEY_HEADER]: 'secret' }, KEY_HEADER);
     const result = authenticate(request, TABLE, routeOf(TABLE), KEY_HEADER);
     expect(result).toEqual({ problem: KeyProblem.Repeated });
   });
 
-  it('minds no other header that comes twice', () => {
+  it('accepts a request in which another header is repeated', () => {
     const request = requestWith({ [KEY_HEADER]: 'secret' }, 'accept');
     const result = authenticate(request, TABLE, routeOf(TABLE), KEY_HEADER);
     expect(result).toMatchObject({ tenant: { name: 'urgent' } });
   });
 
-  it('looks at no key where the document names no tenants, or the route is public', () => {
+  it('ignores the key where the document names no tenants or the route is public', () => {
     const request = requestWith({ [KEY_HEADER]: 'stranger' }, KEY_HEADER);
     const open = tableOf(undefined);
     const publicRoute = { ...routeOf(TABLE), public: true };
@@ -62,7 +62,7 @@
   });
 });
 
-describe('the rank of a request', () => {
+describe('the priority of a request', () => {
   const base = {
     id: 'id',
     method: 'GET',
@@ -73,12 +73,12 @@
     route: routeOf(TABLE),
   };
   const ranks: readonly [string, string | undefined, number][] = [
-    ['its tenant has', 'urgent', 0],
-    ['its route has, where the tenant has none', 'plain', 4],
-    ['its route has, where it needs no key', undefined, 4],
+    ['its tenant', 'urgent', 0],
+    ['its route where the tenant has none', 'plain', 4],
+    ['its route where it needs no key', undefined, 4],
   ];
   for (const [what, name, rank] of ranks) {
-    it(`is the one that ${what}, also at other gateways`, () => {
+    it(`is that of ${what}, also at other gateways`, () => {
       const tenant = name === undefined ? undefined : TABLE.tenants?.named(name);
       const request = { ...base, tenant } as CallerRequest;
       expect(priorityOf(request)).toBe(rank);
--- a/test/gateway/evacuation.test.ts
+++ b/test/gateway/evacuation.test.ts
@@ -2,10 +2,11 @@
 import type { ExchangeReplica } from '../../lab/exchange/exchange-replica.js';
 import { GatewayHarness, textOf } from './gateway-harness.js';
 
-/** Time in which an order is in force at every gateway: far below the five seconds allowed. */
+/** Within this time an order is in force at every gateway; the allowed time is five seconds. Milliseconds. */
 const PROPAGATION_MS = 1_500;
+/** Longer than the interval between health checks of unused replicas. Milliseconds. */
 const OBSERVED_MS = 12_000;
-/** The way to the gateway and back; waiting for room would take 40 ms more. */
+/** Covers a round trip to the gateway; waiting for a replica with room would take 40 ms longer. Milliseconds. */
 const IMMEDIATE_ANSWER_MS = 30;
 
 interface TwoZones {
@@ -30,8 +31,8 @@
   return answers;
 }
 
-describe('a zone that is evacuated', () => {
-  it('gets no request and no health check until that is taken back', async () => {
+describe('an evacuated zone', () => {
+  it('gets no requests and no health checks until the evacuation ends', async () => {
     const { harness, near } = await startTwoZones();
     expect(await answersOf(harness, 4)).toContain('near');
     expect(await harness.evacuate('nayoro', true)).toBe(200);
@@ -46,7 +47,7 @@
     expect(await answersOf(harness, 10)).toContain('near');
   });
 
-  it('gets no hedge and no retry', async () => {
+  it('gets no hedges and no retries', async () => {
     const { harness, near, far } = await startTwoZones();
     await harness.evacuate('wakkanai', true);
     await harness.simulation.runFor(PROPAGATION_MS);
@@ -55,7 +56,7 @@
     expect(far.arrivals).toBe(0);
   });
 
-  it('gets nothing from a gateway that starts meanwhile', async () => {
+  it('gets no requests from a gateway that starts during the evacuation', async () => {
     const { harness, near } = await startTwoZones();
     await harness.evacuate('nayoro', true);
     await harness.simulation.runFor(PROPAGATION_MS);
@@ -65,7 +66,7 @@
     expect(near.arrivals).toBe(arrivals);
   });
 
-  it('stays evacuated over a loss of all power', async () => {
+  it('stays evacuated after controllers and gateway lose power at once', async () => {
     const { harness, near } = await startTwoZones();
     await harness.evacuate('nayoro', true);
     await harness.simulation.runFor(PROPAGATION_MS);
@@ -79,7 +80,7 @@
     expect(near.arrivals).toBe(arrivals);
   });
 
-  it('leaves callers a refusal as not run when it holds all replicas of a service', async () => {
+  it('causes an immediate refusal as not run when every replica of the service is evacuated', async () => {
     const { harness, near, far } = await startTwoZones();
     await harness.evacuate('nayoro', true);
     await harness.evacuate('wakkanai', true);
@@ -93,7 +94,7 @@
     expect([near.arrivals, far.arrivals]).toEqual([0, 0]);
   });
 
-  it('is left out of a fan-out, whose other shards are answered', async () => {
+  it('gets no part of a fan-out, and its shards are answered from other zones', async () => {
     const harness = await GatewayHarness.start();
     const near = await harness.addReplica('shard-a', 'a'.repeat(16), 'nayoro');
     await harness.addReplica('shard-a', 'b'.repeat(16), 'wakkanai');
@@ -108,8 +109,8 @@
   });
 });
 
-describe('a route that names regions', () => {
-  it('sends nothing to replicas elsewhere', async () => {
+describe('a route with allowed regions', () => {
+  it('sends nothing to replicas in other or unknown regions', async () => {
     const zones = { nayoro: 'dohoku', wakkanai: 'soya' };
     const harness = await GatewayHarness.start(7, { zones });
     const near = await harness.addReplica('ledger', 'near', 'nayoro');
--- a/test/gateway/exchange-size.test.ts
+++ b/test/gateway/exchange-size.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import { sizeOfRequest, sizeOfResponse } from '../../src/gateway/exchange-size.js';
 
-it('grows with the path, the headers and the body as they do', () => {
+it('the size of an exchange grows by the bytes added to path, headers and body', () => {
   const request = { method: 'GET', path: '/a', headers: { host: 'x' } };
   const size = sizeOfRequest(request);
   expect(sizeOfRequest({ ...request, path: '/abc' })).toBe(size + 2);
--- a/test/gateway/fan-out.test.ts
+++ b/test/gateway/fan-out.test.ts
@@ -8,7 +8,7 @@
 const SHARDS = ['shard-a', 'shard-b', 'shard-c', 'shard-d'];
 const ROUTE = { pathPrefix: '/q/', shards: SHARDS, topRecords: 3, requiredCoverage: 0.75 };
 
-/** A record of sixteen bytes that begins with `text`. */
+/** A record of 16 bytes that begins with `text`. */
 function record(text: string): string {
   return text.padEnd(16, '.');
 }
@@ -22,7 +22,7 @@
   readonly replicas: readonly ExchangeReplica[];
 }
 
-/** Two replicas of each shard. */
+/** Starts a gateway with two replicas of each shard. */
 async function start(shards = SHARDS): Promise<FanOutSetup> {
   const harness = await GatewayHarness.start();
   const replicas: ExchangeReplica[] = [];
@@ -35,7 +35,7 @@
 }
 
 describe('fan-out', () => {
-  it('merges the greatest records of all shards and names every part once', async () => {
+  it('merges the greatest records of all shards and lists the signature of every part once', async () => {
     const { harness } = await start();
     const answer = await harness.call({ path: '/q/1', id: 'mine' });
     expect(answer.status).toBe(200);
@@ -45,7 +45,7 @@
     expect(partsOf(answer).every((part) => part.endsWith('.mine'))).toBe(true);
   });
 
-  it('states the shards that are missing when enough answered', async () => {
+  it('reports the number of missing shards when enough shards answered', async () => {
     const { harness, replicas } = await start();
     const lost = replicas.filter(({ options }) => options.service === 'shard-b');
     for (const replica of lost) replica.behaviour = ReplicaBehaviour.Fail;
@@ -56,7 +56,7 @@
     expect(textOf(answer)).not.toContain('shard-b');
   });
 
-  it('is no success when too few shards answered, and never says that it was not run', async () => {
+  it('fails without claiming "not run" when too few shards answered', async () => {
     const { harness, replicas } = await start();
     const lost = replicas.filter(({ options }) => /shard-[bc]/.test(options.service));
     for (const replica of lost) replica.behaviour = ReplicaBehaviour.Unsigned;
@@ -64,7 +64,7 @@
     expect([502, 504]).toContain(status);
   });
 
-  it('answers before the target with what is in, when that is enough', async () => {
+  it('responds before the target latency with the parts received, when they are enough', async () => {
     const { harness, replicas } = await start();
     const slow = replicas.filter(({ options }) => options.service === 'shard-a');
     for (const replica of slow) replica.workMs = 1_000;
@@ -75,7 +75,7 @@
     expect(clock.now() - begunAt).toBeLessThan(200);
   });
 
-  it('takes all parts from the shards of one version, also while the shards are exchanged', async () => {
+  it('takes all parts from the shards of one route table version while a new version is applied', async () => {
     const { harness, replicas } = await start();
     for (const replica of replicas) replica.workMs = 150;
     const other = ['other-a', 'other-b'];
@@ -90,7 +90,7 @@
     expect(partsOf(after)).toHaveLength(other.length);
   });
 
-  it('runs nothing when too few shards have a replica', async () => {
+  it('refuses as not run, and sends nothing, when too few shards have a replica', async () => {
     const { harness, replicas } = await start(['shard-a', 'shard-b']);
     const answer = await harness.call({ path: '/q/1' });
     expect(answer.status).toBe(503);
@@ -98,11 +98,11 @@
     expect(replicas.flatMap(({ runs }) => runs)).toEqual([]);
   });
 
-  it('keeps what it sends beyond the first within the budget of each shard', async () => {
+  it('keeps second sends within the budget of each shard', async () => {
     const { harness, replicas } = await start();
     for (const replica of replicas) replica.behaviour = ReplicaBehaviour.LoseAnswer;
     const requests = 100;
-    // A part of the ratio, and what a gateway begins with: 0.15 of the slack of 56.
+    // A gateway uses 85 % of the ratio of 0.2, and starts with 15 % of the slack of 56.
     const bound = requests * 1.17 + 0.15 * 56;
     for (let index = 0; index < requests; index += 1) await harness.call({ path: '/q/1' });
     for (const shard of SHARDS) {
--- a/test/gateway/forwarding.test.ts
+++ b/test/gateway/forwarding.test.ts
@@ -6,7 +6,7 @@
 const NAMES = DEFAULT_EXCHANGE_HEADERS;
 
 describe('forwarding to one service', () => {
-  it('passes a request on unchanged, with the time that is left, and the answer back', async () => {
+  it('forwards a request unchanged with the remaining time, and returns the response', async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger', 'the whole ledger');
     await harness.putRoutes([{ pathPrefix: '/ledger/', service: 'ledger' }]);
@@ -27,7 +27,7 @@
     expect(run?.deadlineMs).toBeGreaterThan(800);
   });
 
-  it('says 503 before there are routes, and 404 where none fits', async () => {
+  it('responds 503 before the first routes, and 404 when no route matches', async () => {
     const harness = await GatewayHarness.start();
     const early = await harness.call({ path: '/ledger/1' });
     expect(early.status).toBe(503);
@@ -38,7 +38,7 @@
     expect(await harness.readyStatus()).toBe(200);
   });
 
-  it('picks the longest prefix', async () => {
+  it('picks the route with the longest matching prefix', async () => {
     const harness = await GatewayHarness.start();
     await harness.addReplica('general', 'general');
     await harness.addReplica('special', 'special');
@@ -50,7 +50,7 @@
     expect(textOf(await harness.call({ path: '/a/bc' }))).toBe('general');
   });
 
-  it('shares requests in proportion to the weights', async () => {
+  it('splits requests between services in proportion to their weights', async () => {
     const harness = await GatewayHarness.start();
     await harness.addReplica('one', 'one');
     await harness.addReplica('three', 'three');
@@ -72,7 +72,7 @@
     ReplicaBehaviour.Unsigned,
     ReplicaBehaviour.RefuseUnnamed,
   ]) {
-    it(`never runs what is not repeatable twice after ${behaviour}`, async () => {
+    it(`never runs a request twice that is not repeatable, after ${behaviour}`, async () => {
       const harness = await GatewayHarness.start();
       const replicas = [await harness.addReplica('pledge'), await harness.addReplica('pledge')];
       for (const replica of replicas) replica.behaviour = behaviour;
@@ -81,7 +81,7 @@
       ]);
       for (let index = 0; index < 20; index += 1) {
         const { status } = await harness.call({ path: '/p/1', id: `p-${index}`, method: 'POST' });
-        // It may have run, so no status that promises the contrary.
+        // The request may have run, so the status must not claim that it was not.
         expect([502, 504]).toContain(status);
       }
       const ids = replicas.flatMap(({ runs }) => runs.map(({ requestId }) => requestId));
@@ -89,7 +89,7 @@
     });
   }
 
-  it('asks another replica when one loses the answer to a repeatable request', async () => {
+  it('retries a repeatable request at another replica when one returns no valid response', async () => {
     const harness = await GatewayHarness.start();
     const replicas = [
       await harness.addReplica('ledger', 'whole'),
@@ -108,7 +108,7 @@
     expect(statuses).toEqual(Array.from({ length: 10 }, () => 200));
   });
 
-  it('says "not run" only when no replica ran it, with when to come back', async () => {
+  it('responds "not run" with a retry-after when no replica ran the request', async () => {
     const harness = await GatewayHarness.start();
     const replicas = [await harness.addReplica('ledger'), await harness.addReplica('ledger')];
     for (const replica of replicas) replica.behaviour = ReplicaBehaviour.Refuse;
@@ -119,7 +119,7 @@
     expect(replicas.flatMap(({ runs }) => runs)).toEqual([]);
   });
 
-  it("gives a replica's own failure back with its signature", async () => {
+  it("returns a replica's own failure with its signature", async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger', 'sorry');
     replica.behaviour = ReplicaBehaviour.Fail;
@@ -130,7 +130,7 @@
     expect(answer.headers[NAMES.signature]).toBe(`${replica.options.replicaId}.mine`);
   });
 
-  it("ends at the route's timeout, and cancels at the replica", async () => {
+  it("responds 504 at the route's timeout when the replica has not answered", async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger');
     replica.workMs = 60_000;
@@ -143,18 +143,18 @@
     expect(elapsed).toBeLessThan(600);
   });
 
-  it('refuses at once what no replica can take', async () => {
+  it('refuses a request early when no replica can accept it', async () => {
     const harness = await GatewayHarness.start();
     await harness.putRoutes([{ pathPrefix: '/l/', service: 'ledger', targetLatencyMs: 200 }]);
     const begunAt = harness.machine.environment.clock.now();
     expect((await harness.call({ path: '/l/1' })).status).toBe(503);
-    // Within a quarter of the target, so that a retry may still be in time.
+    // About a quarter of the target latency, so that a retry can still be in time.
     expect(harness.machine.environment.clock.now() - begunAt).toBeLessThan(60);
   });
 });
 
-describe('replicas that leave', () => {
-  it('get nothing new after their leaving was acknowledged', async () => {
+describe('leaving replicas', () => {
+  it('get no new requests after the controllers acknowledged that they leave', async () => {
     const harness = await GatewayHarness.start();
     const [leaving, staying] = [
       await harness.addReplica('ledger'),
@@ -168,7 +168,7 @@
     expect(staying.runs.length).toBeGreaterThanOrEqual(30);
   });
 
-  it('are not acknowledged by a controller that reaches no quorum', async () => {
+  it('get no acknowledgement from a controller that reaches no quorum', async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger');
     await harness.putRoutes([{ pathPrefix: '/l/', service: 'ledger' }]);
@@ -179,7 +179,7 @@
 });
 
 describe('planned stop', () => {
-  it('is not ready at once, serves on, and cuts nothing off', async () => {
+  it('reports not ready at once, keeps serving, and answers every request in flight', async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger', 'whole');
     replica.workMs = 1_500;
@@ -195,8 +195,8 @@
   });
 });
 
-describe('a gateway that has run for long', () => {
-  it('still knows replicas of which nothing changed', async () => {
+describe('a long-running gateway', () => {
+  it('still knows replicas that have not changed for five minutes', async () => {
     const harness = await GatewayHarness.start();
     await harness.addReplica('ledger', 'whole');
     await harness.putRoutes([{ pathPrefix: '/ledger/', service: 'ledger' }]);
--- a/test/gateway/gateway-harness.ts
+++ b/test/gateway/gateway-harness.ts
@@ -1,4 +1,4 @@
-/** A gateway over stand-in replicas and a group of controllers, in the simulation. */
+/** Runs gateways with simulated replicas and a group of controllers in the simulation. */
 import { Registry } from 'prom-client';
 import { expect } from 'vitest';
 import {
@@ -28,36 +28,36 @@
 const HEALTH_PORT = 8001;
 const GATHER_PORT = 8002;
 const REPLICA_PORT = 9000;
-/** In which registrations and route documents reach the gateway. Milliseconds. */
+/** Time within which registrations and route documents reach the gateway. Milliseconds. */
 const PROPAGATION_MS = 3_000;
 export const HOST = 'desk.example';
 const SECOND_SENDS = { ratio: 0.2, slack: 56 };
 
-/** Settings of the gateway that a test changes. */
+/** Settings that a test changes; absent ones keep their defaults. */
 export interface GatewayOverrides {
   readonly secondSends?: { readonly ratio: number; readonly slack: number };
   readonly mechanisms?: Partial<GatewayMechanisms>;
   readonly aggregation?: Partial<AggregationSettings>;
-  /** Whether the gateway that callers reach takes gathers of others; true when absent. */
+  /** Whether the gateway that serves callers accepts gathers from others; true when absent. */
   readonly takesGathers?: boolean;
-  /** Gateways besides the one that callers reach. */
+  /** Number of gateways besides the one that serves callers; none when absent. */
   readonly others?: number;
-  /** Of the controllers; silent when absent. */
+  /** Logger of the controllers; they log nothing when absent. */
   readonly controllerLogger?: Logger;
-  /** Of the gateways and the controllers. */
+  /** Tenant settings of the gateways and the controllers. */
   readonly tenants?: {
     readonly quota?: Partial<QuotaSettings>;
     readonly revocationBoundMs?: number;
   };
-  /** Zones of the gateways, first of the one that callers reach; one for all when absent. */
+  /** Zones of the gateways, starting with the one that serves callers; the same zone for all when absent. */
   readonly gatewayZones?: readonly string[];
-  /** Regions by zone. */
+  /** Region by zone name. */
   readonly zones?: Readonly<Record<string, string>>;
-  /** Defects of the controllers. */
+  /** Faults injected into the controllers. */
   readonly controlFaults?: ControlStreamFaults;
 }
 
-/** A gateway besides the one that callers reach. */
+/** A gateway besides the one that serves callers. */
 export interface OtherGateway {
   readonly machine: SimulatedMachine;
   readonly daemon: GatewayDaemon;
@@ -72,12 +72,13 @@
   keepAliveTimeout: 1_000,
 };
 
-/** One line that the gateway wrote. */
+/** One log line of a gateway. */
 export interface LogLine {
   readonly message: string;
   readonly fields: LogFields;
 }
 
+/** Creates a logger that appends its lines of all levels to `lines`. */
 export function collectLines(lines: LogLine[]): Logger {
   const write = (message: string, fields: LogFields = {}): void => {
     lines.push({ message, fields });
@@ -86,7 +87,7 @@
   return logger;
 }
 
-/** One route of the document that {@link GatewayHarness.putRoutes} writes. */
+/** One route of the document that {@link GatewayHarness.putRoutes} publishes. */
 export interface TestRoute {
   readonly pathPrefix: string;
   readonly execution?: 'repeatable' | 'atMostOnce';
@@ -103,7 +104,7 @@
   readonly public?: boolean;
 }
 
-/** One tenant of the document that {@link GatewayHarness.putRoutes} writes. */
+/** One tenant of the document that {@link GatewayHarness.putRoutes} publishes. */
 export interface TestTenant {
   readonly name: string;
   readonly keys: readonly string[];
@@ -119,12 +120,12 @@
   readonly method?: string;
   readonly body?: string;
   readonly deadlineMs?: number;
-  /** Besides those that every request carries. */
+  /** Added to the headers that every request carries. */
   readonly headers?: HttpHeaders;
   readonly signal?: AbortSignal;
 }
 
-/** See the module comment. */
+/** A running fleet; methods that wait advance the simulation. */
 export class GatewayHarness {
   private version = 0;
   private calls = 0;
@@ -135,9 +136,9 @@
     readonly group: AutomaticGroup,
     readonly machine: SimulatedMachine,
     public gateway: GatewayDaemon,
-    /** Lines of the gateway. */
+    /** Log lines of the first gateway. */
     readonly lines: LogLine[],
-    /** What the gateway that was started first counts. */
+    /** Metrics of the first gateway until it is restarted. */
     readonly registry: Registry,
     readonly others: readonly OtherGateway[],
     private readonly overrides: GatewayOverrides,
@@ -205,7 +206,7 @@
     return group.simulation.settle(started);
   }
 
-  /** Evacuates a zone, or ends that, at the controller of the index. */
+  /** Starts or ends the evacuation of a zone through the controller with the given index; returns the status. */
   async evacuate(zone: string, isEvacuated: boolean, controller = 0): Promise<number> {
     const method = isEvacuated ? 'PUT' : 'DELETE';
     const machine = this.group.machineAt(controller);
@@ -213,19 +214,19 @@
     return answer.status;
   }
 
-  /** The gateway's machine and all controllers lose power at once. */
+  /** Cuts the power of the first gateway's machine and of all controllers at once. */
   losePower(): void {
     for (const machine of [this.machine, ...this.group.machines]) machine.crash({ power: true });
   }
 
-  /** Starts a gateway on its machine again. */
+  /** Restarts the first gateway on its machine. */
   async restartGateway(): Promise<void> {
     this.machine.restart({ keepDisk: true });
     const { group, machine, lines, overrides } = this;
     this.gateway = await GatewayHarness.startGateway(group, machine, lines, overrides);
   }
 
-  /** Starts every controller again, with its disk. */
+  /** Restarts every controller with its disk intact. */
   async restartControllers(): Promise<void> {
     for (const machine of this.group.machines) await this.group.restart(machine, true);
   }
@@ -234,7 +235,7 @@
     return this.group.simulation;
   }
 
-  /** A replica of the service that has registered. */
+  /** Adds a replica of the service and starts it on a machine of its own. */
   async addReplica(
     service: string,
     content = '',
@@ -250,16 +251,16 @@
     return replica;
   }
 
-  /** The machine that the replica runs on. */
+  /** The machine on which the replica runs. */
   machineOf(replica: ExchangeReplica): SimulatedMachine {
     const machine = this.machines.get(replica);
-    if (machine === undefined) throw new Error('not a replica of this harness');
+    if (machine === undefined) throw new Error('the replica was not added by this harness');
     return machine;
   }
 
   /**
-   * Starts a replica's machine again: another replica of the service, at the same address, or
-   * with `bornAt` the same one in another life.
+   * Restarts a replica's machine. Another replica of the service then runs at the same address or,
+   * with `bornAt`, the same replica in another incarnation.
    */
   restartReplica(ended: ExchangeReplica, bornAt?: number): ExchangeReplica {
     const machine = this.machineOf(ended);
@@ -292,14 +293,15 @@
     return replica;
   }
 
-  /** The line about a request; fails when there is not exactly one. */
+  /** The only log line with the request id; fails the test unless there is exactly one. */
   lineOf(requestId: string): LogLine {
     const [line, ...others] = this.lines.filter(({ fields }) => fields['requestId'] === requestId);
-    if (line === undefined || others.length > 0) return expect.fail(`lines of ${requestId}`);
+    if (line === undefined || others.length > 0)
+      return expect.fail(`expected one log line of ${requestId}`);
     return line;
   }
 
-  /** Puts the next version of the routes in force. */
+  /** Publishes the routes as the next version and waits until they are in force. */
   async putRoutes(routes: readonly TestRoute[], tenants?: readonly TestTenant[]): Promise<void> {
     this.version += 1;
     const services = routes.flatMap(({ service, split = [], shards = [] }) => [
@@ -326,7 +328,7 @@
     await this.simulation.runFor(PROPAGATION_MS);
   }
 
-  /** Sends one request, to the first gateway if no other is named; not yet settled. */
+  /** Sends one request, by default to the first gateway, without advancing the simulation. */
   send(call: TestCall, machine = this.machine): Promise<HttpClientResponse> {
     this.calls += 1;
     const { requestId, deadline } = DEFAULT_EXCHANGE_HEADERS;
@@ -346,10 +348,12 @@
     });
   }
 
+  /** Sends one request to the first gateway and waits for the response. */
   call(call: TestCall): Promise<HttpClientResponse> {
     return this.simulation.settle(this.send(call));
   }
 
+  /** Status of the first gateway's `/readyz`. */
   async readyStatus(): Promise<number> {
     const address = { host: this.machine.host, port: HEALTH_PORT };
     const client = this.group.operator.environment.network.httpClient(address, CALLER_OPTIONS);
@@ -358,6 +362,7 @@
   }
 }
 
+/** The response body as text. */
 export function textOf({ body }: HttpClientResponse): string {
   return Buffer.from(body).toString('utf8');
 }
--- a/test/gateway/merge-records.test.ts
+++ b/test/gateway/merge-records.test.ts
@@ -2,14 +2,14 @@
 import { describe, expect, it } from 'vitest';
 import { RECORD_BYTES, mergeRecords } from '../../src/gateway/merge-records.js';
 
-/** Small alphabets make equal records and equal beginnings likely. */
+/** The small range makes equal records and equal key prefixes likely. */
 const byte = fc.oneof(fc.integer({ min: 0, max: 1 }), fc.integer({ min: 0, max: 255 }));
 const part = fc.uint8Array({ maxLength: 20 * RECORD_BYTES + 7 });
 const repetitivePart = fc
   .array(byte, { maxLength: 20 * RECORD_BYTES + 7 })
   .map((bytes) => Uint8Array.from(bytes));
 
-/** All records in full order, the obvious way. */
+/** Reference implementation: sorts all records in full. */
 function expected(parts: readonly Uint8Array[], count: number): string {
   const records = parts.flatMap((bytes) => {
     const hex = Buffer.from(bytes).toString('hex');
@@ -19,7 +19,7 @@
 }
 
 describe('mergeRecords', () => {
-  it('gives the greatest records of all parts, falling, whatever the parts hold', () => {
+  it('returns the greatest records of all parts in descending order for any parts', () => {
     const parts = fc.array(fc.oneof(part, repetitivePart), { maxLength: 6 });
     fc.assert(
       fc.property(parts, fc.integer({ min: 0, max: 60 }), (bytes, count) => {
@@ -30,7 +30,7 @@
     );
   });
 
-  it('keeps equal records, each as often as it occurs', () => {
+  it('keeps every occurrence of equal records', () => {
     const record = new Uint8Array(RECORD_BYTES).fill(9);
     const lower = new Uint8Array(RECORD_BYTES).fill(3);
     const merged = mergeRecords([record, lower, record, record], 3);
--- a/test/gateway/replica-model.ts
+++ b/test/gateway/replica-model.ts
@@ -1,4 +1,4 @@
-/** Replicas with slots and a bounded queue, for replays against the decisions of many gateways. */
+/** Models replicas with slots and a bounded queue, for simulations of the decisions of many gateways. */
 import type { AttemptResult } from '../../src/gateway/attempt-result.js';
 import { NotRunReason } from '../../src/gateway/attempt-result.js';
 import type { CallerRequest } from '../../src/gateway/caller-request.js';
@@ -6,31 +6,31 @@
 import type { AttemptSender, Sending } from '../../src/gateway/send-attempt.js';
 import type { Clock } from '../../src/seams/clock.js';
 
-/** How a modelled replica takes connections and speaks of its load. */
+/** Fault in how a modelled replica accepts connections, answers or reports its load. */
 export enum ModelFault {
   None = 'none',
-  /** It says nothing of its load. */
+  /** The replica sends no load reports. */
   Silent = 'silent',
-  /** It always says that it is idle. */
+  /** The replica always reports that it is idle. */
   ReportsIdle = 'saysIdle',
-  /** It always says that its queue is full. */
+  /** The replica always reports a full queue. */
   ReportsFull = 'saysFull',
-  /** It takes requests and never answers. */
+  /** The replica accepts requests and never answers. */
   Hangs = 'hangs',
-  /** Its listener drops opening packets. */
+  /** The replica's listener drops connection requests. */
   DropsConnections = 'dropsOpenings',
 }
 
-/** In which the client gives up an opening by itself. Milliseconds. */
+/** Connect timeout of the client where an attempt sets none. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** There and back. Milliseconds. */
+/** Network round trip. Milliseconds. */
 const ROUND_TRIP_MS = 2;
 const SLOTS = 2;
 const QUEUE_LIMIT = 8;
 
 const ANSWER = { status: 200, headers: {}, body: new Uint8Array(0) };
 
-/** See the module comment. */
+/** One replica; each request runs for `workMs` in one of its slots. */
 export class ReplicaModel {
   fault = ModelFault.None;
   runs = 0;
@@ -39,11 +39,11 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Milliseconds. */
+    /** Time that a request occupies a slot. Milliseconds. */
     readonly workMs: number,
   ) {}
 
-  /** Resolves once it answers; never when it hangs. */
+  /** Resolves when the replica answers, and never while it hangs. Skips the work if `isGone()` by then. */
   async serve(isGone: () => boolean): Promise<'ran' | 'refused'> {
     if (this.running + this.queue.length >= SLOTS + QUEUE_LIMIT) return 'refused';
     if (this.running >= SLOTS) await new Promise<void>((resolve) => this.queue.push(resolve));
@@ -68,7 +68,7 @@
   }
 }
 
-/** Stands in for an `AttemptSender` over connections that are opened anew each time. */
+/** Replaces an `AttemptSender`; every attempt opens a new connection. */
 export function senderTo(
   clock: Clock,
   models: ReadonlyMap<string, ReplicaModel>,
--- a/test/gateway/request-decisions.test.ts
+++ b/test/gateway/request-decisions.test.ts
@@ -2,8 +2,8 @@
 import { ReplicaBehaviour } from '../../lab/exchange/exchange-replica.js';
 import { GatewayHarness } from './gateway-harness.js';
 
-describe('the line about a request', () => {
-  it('tells why it was not forwarded', async () => {
+describe('the decision log line of a request', () => {
+  it('holds the reason why the request was not forwarded', async () => {
     const harness = await GatewayHarness.start();
     await harness.call({ path: '/ledger/1', id: 'early' });
     expect(harness.lineOf('early')).toMatchObject({
@@ -17,7 +17,7 @@
     });
   });
 
-  it('names the replica that had it when the time was up', async () => {
+  it('names the replica that held the request when its deadline passed', async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger');
     replica.workMs = 5_000;
@@ -34,12 +34,12 @@
     });
   });
 
-  it('names each attempt, what it went by and what became of it', async () => {
+  it('lists each attempt with its replica and result', async () => {
     const harness = await GatewayHarness.start();
     const refusing = await harness.addReplica('ledger');
     const slow = await harness.addReplica('ledger');
     refusing.behaviour = ReplicaBehaviour.Refuse;
-    // Slower than usual, so that after its first answer the other one is tried first.
+    // Slower than the other replica, which is therefore tried first after this one's first answer.
     slow.workMs = 40;
     await harness.putRoutes([{ pathPrefix: '/ledger/', service: 'ledger' }]);
     for (let index = 0; index < 12; index += 1) {
@@ -57,7 +57,7 @@
     });
   });
 
-  it('shows the attempts at shards that an answer lacks', async () => {
+  it('lists the attempts at shards that are missing from the response', async () => {
     const harness = await GatewayHarness.start();
     await harness.addReplica('shard-a');
     const broken = await harness.addReplica('shard-b');
--- a/test/gateway/start-failure.test.ts
+++ b/test/gateway/start-failure.test.ts
@@ -13,7 +13,7 @@
   maximumConnections: 10,
 };
 
-it('a gateway that cannot listen lets go of everything, so that its process ends', async () => {
+it('a gateway that cannot listen releases all its resources, so that its process can exit', async () => {
   const group = await AutomaticGroup.start(3, 5);
   const { simulation } = group;
   const machine = simulation.createMachine('gateway-1', 'nayoro');
--- a/test/gateway/table-in-force.test.ts
+++ b/test/gateway/table-in-force.test.ts
@@ -2,11 +2,11 @@
 import { GatewayHarness } from './gateway-harness.js';
 
 const ROUTE = { pathPrefix: '/ledger/', service: 'ledger' };
-/** The request has arrived, and the first routes have not. */
+/** After this time the request has arrived and the first route document has not. Milliseconds. */
 const ARRIVAL_MS = 3;
 
 describe('a gateway without routes', () => {
-  it('serves what came just before its first routes', async () => {
+  it('serves a request that arrived just before the first route document', async () => {
     const harness = await GatewayHarness.start();
     await harness.addReplica('ledger', 'whole');
     await harness.putRoutes([ROUTE]);
@@ -15,7 +15,7 @@
     expect(answer.status).toBe(200);
   });
 
-  it('refuses as not run when they do not come soon, with time left to ask again', async () => {
+  it('refuses a request as not run, in time for a retry, when no route document arrives soon', async () => {
     const harness = await GatewayHarness.start();
     harness.losePower();
     await harness.restartGateway();
@@ -27,7 +27,7 @@
     expect(clock.now() - sentAt).toBeLessThan(300);
   });
 
-  it('sends nothing for a caller that has gone before they came', async () => {
+  it('sends nothing to replicas for a caller that disconnected before the first route document', async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger', 'whole');
     await harness.putRoutes([ROUTE]);
@@ -41,7 +41,7 @@
     expect(replica.arrivals).toBe(0);
   });
 
-  it('refuses at once when it has long been without', async () => {
+  it('refuses at once when the startup time has passed without a route document', async () => {
     const harness = await GatewayHarness.start();
     const { clock } = harness.machine.environment;
     await harness.simulation.runFor(5_000);
--- a/test/gateway/tenant-identity.test.ts
+++ b/test/gateway/tenant-identity.test.ts
@@ -25,7 +25,7 @@
   x_driftway_api_key: SECRET,
   'x-other': 'kept',
 };
-/** In which gateways connect to each other. Milliseconds. */
+/** Time within which gateways connect to each other. Milliseconds. */
 const CONNECT_MS = 2_000;
 const DEFAULT_SETTINGS: GatewayOverrides = {};
 
@@ -34,7 +34,7 @@
   readonly replicas: readonly ExchangeReplica[];
 }
 
-/** Two replicas of each service that the route names. */
+/** Starts a gateway with two replicas of each service that the route names. */
 async function start(
   route: TestRoute,
   tenants: typeof TENANTS | 'none' = TENANTS,
@@ -52,12 +52,12 @@
   return { harness, replicas };
 }
 
-/** Headers of all requests that replicas ran. */
+/** Headers of all requests that the replicas ran. */
 function headersSeen({ replicas }: Fleet): HttpHeaders[] {
   return replicas.flatMap(({ runs }) => runs.map(({ headers }) => headers));
 }
 
-/** Sendings of a request to a second replica of a service. */
+/** Number of attempts beyond the first for the same request and service. */
 function sentAgain({ replicas }: Fleet): number {
   const sendings = replicas.flatMap(({ options, runs }) =>
     runs.map(({ requestId }) => `${options.service} ${requestId}`),
@@ -65,7 +65,7 @@
   return sendings.length - new Set(sendings).size;
 }
 
-/** Every one names the tenant, and holds neither a key nor what the caller claimed. */
+/** Expects every request to name the tenant and to hold neither a key nor a claim of the caller. */
 function expectIdentity(fleet: Fleet, tenant: string | undefined): void {
   const seen = headersSeen(fleet);
   expect(seen).not.toEqual([]);
@@ -80,7 +80,7 @@
   }
 }
 
-/** Groups of shards that the other gateways asked for the first. */
+/** Number of shard groups that the other gateways gathered for the first one. */
 async function gathersOf({ others }: GatewayHarness): Promise<number> {
   const metrics = others.map(async ({ registry }) =>
     registry.getSingleMetric('driftway_gateway_gathers_total')?.get(),
@@ -94,7 +94,7 @@
   return values.find(({ labels }) => labels['reason'] === reason)?.value ?? 0;
 }
 
-describe('a request without a key that a tenant holds', () => {
+describe('a request without a valid API key', () => {
   const wrong: readonly [string, HttpHeaders, string][] = [
     ['no key', {}, 'no API key'],
     ['an empty key', { [KEY]: '' }, 'no API key'],
@@ -104,7 +104,7 @@
     ['a key of thousands of characters', { [KEY]: 'k'.repeat(10_000) }, 'no tenant holds'],
     ['the name of a tenant alone', { [TENANT]: 'orchard' }, 'no API key'],
   ];
-  it('gets 401, is sent to no replica, and its key is shown nowhere', async () => {
+  it('gets 401, reaches no replica, and leaves its key out of responses and log lines', async () => {
     const fleet = await start({ pathPrefix: '/one/', service: 'one' });
     const { harness } = fleet;
     for (const [, headers, reason] of wrong) {
@@ -122,7 +122,7 @@
     expect(JSON.stringify(harness.lines)).not.toMatch(/secret|stranger|kkkk/);
   });
 
-  it('is refused by the listener where its key is longer than all headers may be', async () => {
+  it('is refused by the listener with 431 when its key exceeds the header size limit', async () => {
     const fleet = await start({ pathPrefix: '/one/', service: 'one' });
     const headers = { [KEY]: 'k'.repeat(100_000) };
     const answer = await fleet.harness.call({ path: '/one/1', headers });
@@ -130,13 +130,13 @@
     expect(headersSeen(fleet)).toEqual([]);
   });
 
-  it('gets 404 where no route fits', async () => {
+  it('gets 404 when no route matches', async () => {
     const { harness } = await start({ pathPrefix: '/one/', service: 'one' });
     expect((await harness.call({ path: '/two/1' })).status).toBe(404);
   });
 });
 
-describe('replicas learn the name of the tenant, and no key', () => {
+describe('replicas receive the name of the tenant and no key', () => {
   const split = [
     { service: 'one', weight: 1 },
     { service: 'two', weight: 1 },
@@ -164,7 +164,7 @@
       expect((await gathersOf(fleet.harness)) > 0).toBe(overrides === divided);
     });
 
-    it(`with requests ${name} that are sent again`, async () => {
+    it(`with requests ${name} that are retried or hedged`, async () => {
       const fleet = await start(route, TENANTS, overrides);
       const [first] = fleet.replicas;
       for (const behaviour of [ReplicaBehaviour.Fail, ReplicaBehaviour.Refuse]) {
@@ -182,7 +182,7 @@
     });
   }
 
-  it('with requests of a public route, where they learn neither', async () => {
+  it('except on a public route, where they receive neither', async () => {
     for (const route of [{ service: 'one' }, { shards: SHARDS, topRecords: 3 }]) {
       const fleet = await start({ pathPrefix: '/q/', public: true, ...route });
       for (const headers of [CLAIMS, { 'x-other': 'kept' }, { ...CLAIMS, [KEY]: 'stranger' }]) {
@@ -194,7 +194,7 @@
 });
 
 describe('a document without tenants', () => {
-  it('has every header passed on, and asks for no key', async () => {
+  it('forwards every header and requires no key', async () => {
     for (const route of [{ service: 'one' }, { shards: SHARDS, topRecords: 3 }]) {
       const fleet = await start({ pathPrefix: '/q/', ...route }, 'none');
       const headers = { [KEY]: SECRET, [TENANT]: 'mill', x_driftway_tenant: 'a', 'x-other': 'b' };
--- a/test/gateway/tenant-limits.test.ts
+++ b/test/gateway/tenant-limits.test.ts
@@ -8,7 +8,7 @@
   { name: 'two', keys: ['key-two'] },
 ];
 const quota = { windowMs: 5_000, overrun: 0.1, slack: 4 };
-/** Of tenant `one` in a window. */
+/** Most requests of tenant `one` that are admitted in a window: rate and burst, overrun, slack. */
 const MAXIMUM_ADMITTED = (2 * 5 + 2) * 1.1 + 4;
 
 function callOf(key: string): { path: string; headers: Record<string, string> } {
@@ -22,7 +22,7 @@
   return harness;
 }
 
-it('keeps a tenant to its limit over all gateways, and another without one to none', async () => {
+it('enforces a tenant limit over all gateways, and admits all requests of a tenant without one', async () => {
   const harness = await startFleet(3);
   const machines = [harness.machine, ...harness.others.map(({ machine }) => machine)];
   const statuses: number[] = [];
@@ -43,7 +43,7 @@
   expect(free.length).toBe(100);
 });
 
-it('tells a refused caller when to come back, and admits it then', async () => {
+it('gives a refused caller a retry-after, and admits it once that time has passed', async () => {
   const harness = await startFleet(0);
   let refused = await harness.call(callOf('key-one'));
   for (let count = 0; count < 20 && refused.status === 200; count += 1) {
@@ -56,7 +56,7 @@
   expect((await harness.call(callOf('key-one'))).status).toBe(200);
 });
 
-it('goes on with the next leader of the controllers', async () => {
+it('keeps admitting requests after the controllers elect another leader', async () => {
   const harness = await startFleet(1);
   expect((await harness.call(callOf('key-one'))).status).toBe(200);
   for (const machine of harness.group.machines.slice(0, 1)) machine.crash();
