--- a/src/gateway/authentication.ts
+++ b/src/gateway/authentication.ts
@@ -1,6 +1,6 @@
 /**
  * Authenticates a request by its API key against the route document that the request is pinned to.
- * This runs before any other per-request work, so that callers without a valid key cause little load.
+ * A request without a valid key is refused before any further work, so that it causes little load.
  */
 import type { Route } from '../routes/route-document.js';
 import type { RouteTable } from '../routes/route-table.js';
--- a/src/gateway/create-directory-client.ts
+++ b/src/gateway/create-directory-client.ts
@@ -24,7 +24,7 @@
   readonly traffic: ZoneTraffic;
 }
 
-/** Creates a client that uses the configured controllers as seeds and reports this gateway's gather address. */
+/** Uses the configured controllers as seeds, and reports this gateway's gather address to them. */
 export function createDirectoryClient(options: GatewayDirectoryOptions): DirectoryClient {
   const { configuration, ...parts } = options;
   const { zone, controllers, listen } = configuration;
--- a/src/gateway/fan-out.ts
+++ b/src/gateway/fan-out.ts
@@ -22,7 +22,7 @@
   listener: PartListener,
 ) => readonly PartSource[];
 
-/** Replaces `NotRun` by `Failed`: the caller of a request that may have run must not be told otherwise. */
+/** For a request that a replica may have run: replaces `NotRun`, which would be untrue, by `Failed`. */
 function refusalAfterPossibleRun(refusal: GatewayRefusal): GatewayRefusal {
   return refusal === GatewayRefusal.NotRun ? GatewayRefusal.Failed : refusal;
 }
@@ -127,8 +127,8 @@
   }
 
   private refuseIfUnsent(): void {
-    const isOffered = this.sources.some((source) => source.mayHaveSent);
-    if (!isOffered) this.giveUp(GatewayRefusal.NotRun, 'no replica has room');
+    const mayHaveSent = this.sources.some((source) => source.mayHaveSent);
+    if (!mayHaveSent) this.giveUp(GatewayRefusal.NotRun, 'no replica has room');
   }
 
   private onDeadline(): void {
--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -27,7 +27,7 @@
   readonly stopped: AbortSignal;
 }
 
-/** Provides the lease and the quota for the gateway's context; each is a no-op where it is not configured. */
+/** Provides the lease and the quota; each admits every request where it is not configured. */
 export class GatewayTenants {
   /** Undefined where no time limit for key revocations is configured. */
   private readonly leaseRenewal: LeaseRenewal | undefined;
--- a/src/gateway/part-source.ts
+++ b/src/gateway/part-source.ts
@@ -1,4 +1,4 @@
-/** Sources of the parts of a merged response: replicas that this gateway asks itself, or another gateway. */
+/** Sources of the parts of a merged response: replicas asked by this gateway, or another gateway. */
 import type { LogFields } from '../observability/logger.js';
 
 /** Parts of one or more shards. With several shards the records are already merged. */
--- a/src/gateway/planned-stop.ts
+++ b/src/gateway/planned-stop.ts
@@ -1,4 +1,4 @@
-/** The phase of a planned stop in which callers move to other gateways and requests in flight are answered. */
+/** The phase of a planned stop in which callers move to other gateways and requests are drained. */
 import type { Clock } from '../seams/clock.js';
 
 /** Fraction of the grace period during which new connections are accepted. */
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -1,4 +1,4 @@
-/** Sends a request to one replica of each given shard, and to further replicas of shards that are late or fail. */
+/** Sends a request to one replica of each given shard, and to further ones if it is late or fails. */
 import type { LogFields } from '../observability/logger.js';
 import type { Timer } from '../seams/clock.js';
 import { attemptFields } from './attempt-record.js';
@@ -10,7 +10,10 @@
 
 /** Delay of the second hedge after the first, as a fraction of the target latency. */
 const SECOND_HEDGE_FRACTION = 0.15;
-/** Shards whose replicas could not accept the request are retried within this fraction of the target latency. */
+/**
+ * Shards whose replicas could not accept the request are retried within this fraction of the target
+ * latency.
+ */
 const RETRY_FRACTION = 0.6;
 /**
  * The worth of a merged response is the square of the fraction of shards that it holds, so losing
@@ -23,7 +26,7 @@
   readonly shards: readonly string[];
   /** Number of shards of the whole request; more than `shards` where other gateways ask the rest. */
   readonly totalShards: number;
-  /** Another gateway may have sent the request to these shards, so every attempt counts as a second send. */
+  /** Another gateway may have sent the request to these shards: every attempt is a second send. */
   readonly isRepeat: boolean;
   /** Passed to the race of each shard. */
   readonly maySendAgain?: ReplicaRaceOptions['maySendAgain'];
--- a/src/gateway/table-in-force.ts
+++ b/src/gateway/table-in-force.ts
@@ -1,7 +1,7 @@
 /**
  * The route table in force. A gateway that has just started receives its first table within
  * moments, so requests that arrive earlier wait for it, for a bounded fraction of their timeout.
- * Later requests without a table are refused at once.
+ * They are refused when that wait ends; after the startup time, requests are refused at once.
  */
 import type { RouteTable } from '../routes/route-table.js';
 import type { Clock } from '../seams/clock.js';
--- a/src/gateway/zone-regions.ts
+++ b/src/gateway/zone-regions.ts
@@ -14,7 +14,10 @@
     this.regions = new Map([...Object.entries(regionOfZone), [own.zone, own.region]]);
   }
 
-  /** Whether the region of some known zone is not allowed for the route. */
+  /**
+   * Whether the route disallows the region of some zone. Zones without a configured region are not
+   * considered.
+   */
   restricts({ allowedRegions }: Route): boolean {
     if (allowedRegions === undefined) return false;
     return [...this.regions.values()].some((region) => !allowedRegions.includes(region));
--- a/test/gateway/evacuation.test.ts
+++ b/test/gateway/evacuation.test.ts
@@ -2,11 +2,11 @@
 import type { ExchangeReplica } from '../../lab/exchange/exchange-replica.js';
 import { GatewayHarness, textOf } from './gateway-harness.js';
 
-/** Within this time an order is in force at every gateway; the allowed time is five seconds. Milliseconds. */
+/** An order is in force at every gateway within this time; five seconds are allowed. Milliseconds. */
 const PROPAGATION_MS = 1_500;
 /** Longer than the interval between health checks of unused replicas. Milliseconds. */
 const OBSERVED_MS = 12_000;
-/** Covers a round trip to the gateway; waiting for a replica with room would take 40 ms longer. Milliseconds. */
+/** Covers a round trip to the gateway; waiting for a replica would take 40 ms longer. Milliseconds. */
 const IMMEDIATE_ANSWER_MS = 30;
 
 interface TwoZones {
--- a/test/gateway/gateway-harness.ts
+++ b/test/gateway/gateway-harness.ts
@@ -49,7 +49,7 @@
     readonly quota?: Partial<QuotaSettings>;
     readonly revocationBoundMs?: number;
   };
-  /** Zones of the gateways, starting with the one that serves callers; the same zone for all when absent. */
+  /** Zones of the gateways, the one that serves callers first; one zone for all when absent. */
   readonly gatewayZones?: readonly string[];
   /** Region by zone name. */
   readonly zones?: Readonly<Record<string, string>>;
@@ -206,7 +206,7 @@
     return group.simulation.settle(started);
   }
 
-  /** Starts or ends the evacuation of a zone through the controller with the given index; returns the status. */
+  /** Starts or ends a zone's evacuation through the controller with that index; returns the status. */
   async evacuate(zone: string, isEvacuated: boolean, controller = 0): Promise<number> {
     const method = isEvacuated ? 'PUT' : 'DELETE';
     const machine = this.group.machineAt(controller);
--- a/test/gateway/start-failure.test.ts
+++ b/test/gateway/start-failure.test.ts
@@ -42,7 +42,7 @@
   await expect(simulation.settle(started)).rejects.toThrow('address already in use');
   await simulation.runFor(5_000);
   expect(messages.filter((message) => message === 'controller regained')).toHaveLength(0);
-  const health = { host: machine.host, port: 8002 };
-  const freed = network.listenMessages(health, () => Promise.resolve());
+  const messageAddress = { host: machine.host, port: 8002 };
+  const freed = network.listenMessages(messageAddress, () => Promise.resolve());
   await expect(simulation.settle(freed)).resolves.toBeDefined();
 });
