--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -11,7 +11,7 @@
 import type { GatheredParts, PartListener } from '../gateway/part-source.js';
 import { ShardGather } from '../gateway/shard-gather.js';
 import { targetLatencyOf } from '../gateway/route-latencies.js';
-import { TIME_UP, UNSENT_REFUSAL_FRACTION } from '../gateway/forward-single.js';
+import { TIME_UP, NO_ATTEMPT_REFUSAL_FRACTION } from '../gateway/forward-single.js';
 import type { PartsMessage } from './aggregation-messages.js';
 import type { LeafSource } from './leaf-source.js';
 
@@ -83,7 +83,9 @@
     this.timers.push(
       clock.setTimer(hedgeDelay * GRANT_PART, () => this.askForGrant()),
       this.reportTimer(),
-      clock.setTimer(targetLatencyOf(route) * UNSENT_REFUSAL_FRACTION, () => this.endUnoffered()),
+      clock.setTimer(targetLatencyOf(route) * NO_ATTEMPT_REFUSAL_FRACTION, () =>
+        this.endUnoffered(),
+      ),
       clock.setTimer(Math.max(0, deadline - clock.now()), () => this.end(TIME_UP)),
     );
     this.gather.start();
--- a/src/gateway/caller-request.ts
+++ b/src/gateway/caller-request.ts
@@ -12,7 +12,7 @@
   /** End-to-end headers that are forwarded to replicas. */
   readonly headers: HttpHeaders;
   readonly body: Uint8Array;
-  /** Identifies requests with the same content; see `fingerprintOf`. */
+  /** Hash of what the request asks for, the same each time it is sent; see `fingerprintOf`. */
   readonly fingerprint: string;
   /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
--- a/src/gateway/create-directory-client.ts
+++ b/src/gateway/create-directory-client.ts
@@ -24,7 +24,7 @@
   readonly traffic: ZoneTraffic;
 }
 
-/** Uses the configured controllers as seeds, and reports this gateway's gather address to them. */
+/** Uses the configured controllers as seeds, and reports the gather address, if any, to them. */
 export function createDirectoryClient(options: GatewayDirectoryOptions): DirectoryClient {
   const { configuration, ...parts } = options;
   const { zone, controllers, listen } = configuration;
--- a/src/gateway/create-gateway-context.ts
+++ b/src/gateway/create-gateway-context.ts
@@ -39,7 +39,7 @@
   readonly secondSends: SecondSendLimits;
   readonly lease: AuthorizationLease;
   readonly quota: TenantQuota;
-  /** Number of gateways in the fleet; undefined until a controller has reported it. */
+  /** Number of gateways in the fleet; undefined while no followed controller has reported it. */
   readonly countGateways: () => number | undefined;
   /**
    * Reports to a controller evidence about a request that may crash replicas; returns false while
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -13,7 +13,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Applies a zone's order from a controller; an order older than the known one has no effect. */
+  /** Applies a zone's order from a controller, unless it is no newer than the known one. */
   take(evacuation: ZoneEvacuation): void {
     if (!this.evacuatedZones.take(evacuation)) return;
     const { zones } = this.evacuatedZones;
--- a/src/gateway/fan-out.ts
+++ b/src/gateway/fan-out.ts
@@ -5,7 +5,7 @@
 import type { HttpResponse } from '../seams/http.js';
 import type { Timer } from '../seams/clock.js';
 import { priorityOf, type CallerRequest } from './caller-request.js';
-import { CALLER_GONE, TIME_UP, UNSENT_REFUSAL_FRACTION } from './forward-single.js';
+import { CALLER_GONE, TIME_UP, NO_ATTEMPT_REFUSAL_FRACTION } from './forward-single.js';
 import { GatewayRefusal, QUARANTINED, refuse, refuseNotRun } from './gateway-answers.js';
 import type { GatewayContext } from './gateway-context.js';
 import { mergeRecords } from './merge-records.js';
@@ -106,7 +106,7 @@
       this.timers.push(clock.setTimer(cutOffAt - clock.now(), () => this.cutOff(cutOffAt)));
     }
     this.timers.push(
-      clock.setTimer(target * UNSENT_REFUSAL_FRACTION, () => this.refuseIfUnsent()),
+      clock.setTimer(target * NO_ATTEMPT_REFUSAL_FRACTION, () => this.refuseIfNotAttempted()),
       clock.setTimer(deadline - clock.now(), () => this.onDeadline()),
     );
   }
@@ -119,14 +119,17 @@
     }
   }
 
-  /** From the cut-off on, a response with enough shards is returned without waiting for the rest. */
+  /**
+   * From the cut-off on, a response with enough shards is returned at once: it is worth more than
+   * waiting for the rest.
+   */
   private cutOff(dueAt: number): void {
     this.context.answerMargin.noteTimer(this.context.environment.clock.now() - dueAt);
     this.isPastCutOff = true;
     this.finishIfDecided();
   }
 
-  private refuseIfUnsent(): void {
+  private refuseIfNotAttempted(): void {
     const mayHaveSent = this.sources.some((source) => source.mayHaveSent);
     if (!mayHaveSent) this.giveUp(GatewayRefusal.NotRun, 'no replica has room');
   }
--- a/src/gateway/forward-single.ts
+++ b/src/gateway/forward-single.ts
@@ -11,12 +11,15 @@
 import type { RouteLatency } from './route-latency.js';
 import { ReplicaRace } from './replica-race.js';
 
-/** A request not sent to any replica within this fraction of its target latency is refused as not run. */
-export const UNSENT_REFUSAL_FRACTION = 0.2;
+/**
+ * A request for which no attempt could be started within this fraction of its target latency is
+ * refused as not run.
+ */
+export const NO_ATTEMPT_REFUSAL_FRACTION = 0.2;
 
-/** Reason of a request that ends at its deadline, also with attempts in flight. */
+/** Reason given when a request ends at its deadline, possibly with attempts in flight. */
 export const TIME_UP = 'the time is up';
-/** Reason of a request whose caller disconnected, also with attempts in flight. */
+/** Reason given when the caller has disconnected, possibly with attempts in flight. */
 export const CALLER_GONE = 'the caller has gone';
 
 /** One request to one service, from its first attempt to its response. */
@@ -36,14 +39,14 @@
   ) {
     this.startedAt = context.environment.clock.now();
     this.targetLatency = targetLatencyOf(request.route);
-    const sendBy = request.receivedAt + this.targetLatency * UNSENT_REFUSAL_FRACTION;
-    this.admission = new SingleAdmission(context, request, service, sendBy);
+    const sendDeadline = request.receivedAt + this.targetLatency * NO_ATTEMPT_REFUSAL_FRACTION;
+    this.admission = new SingleAdmission(context, request, service, sendDeadline);
     this.race = new ReplicaRace(context, request, {
       service,
       latency: this.latency,
       stake: 1,
       isRepeat: false,
-      retryUntil: sendBy,
+      retryUntil: sendDeadline,
       leavesEndedReplicas: context.mechanisms.endedReplicas,
       connectWithin: context.mechanisms.boundedConnecting ? this.connectWithin : undefined,
       onEnd: this.onEnd,
@@ -65,7 +68,7 @@
   private setTimers(): void {
     const { clock } = this.context.environment;
     this.timers = [
-      clock.setTimer(this.targetLatency * UNSENT_REFUSAL_FRACTION, this.refuseIfUnsent),
+      clock.setTimer(this.targetLatency * NO_ATTEMPT_REFUSAL_FRACTION, this.refuseIfNotAttempted),
       clock.setTimer(longestUnsent(this.targetLatency), this.refuseIfUnconnected),
       clock.setTimer(this.latency.hedgeDelay, this.onHedgeDelay),
       clock.setTimer(this.request.deadline - clock.now(), this.onDeadline),
@@ -73,15 +76,15 @@
   }
 
   /**
-   * Maximum wait for a connection. Counts from the start of forwarding, because replicas do not
-   * cause earlier delays. Milliseconds.
+   * Maximum wait for a connection by an attempt that starts now. The time without a connection
+   * counts from the start of forwarding, because replicas do not cause earlier delays. Milliseconds.
    */
   private readonly connectWithin = (): number => {
     const elapsed = this.context.environment.clock.now() - this.startedAt;
     return longestConnect(this.targetLatency, this.race.wasOffered ? undefined : elapsed);
   };
 
-  private readonly refuseIfUnsent = (): void => {
+  private readonly refuseIfNotAttempted = (): void => {
     if (this.race.sends === 0) this.giveUp('no replica has room');
   };
 
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -18,7 +18,10 @@
 import type { TenantQuota } from '../tenants/tenant-quota.js';
 import type { ZoneRegions } from './zone-regions.js';
 
-/** Created once per gateway; aggregation replaces `shares` by its own for gathers. */
+/**
+ * Created once per gateway. For shard groups that this gateway asks as a leaf, aggregation uses a
+ * copy with `shares` of its own.
+ */
 export interface GatewayContext {
   readonly environment: Environment;
   readonly headers: ExchangeHeaders;
--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -83,7 +83,7 @@
   private async route(request: HttpRequest, receivedAt: number): Promise<HttpResponse> {
     if (this.table === undefined)
       await this.tableInForce.waitForFirst(this.callerTimeoutMs(request));
-    // Read the table after the wait: the lease applies to the table in force, not to the awaited one.
+    // Not the awaited table: a newer one may be in force, to which the lease applies.
     const { table } = this;
     if (request.signal.aborted) {
       return this.reject(request, GatewayRefusal.NotRun, CALLER_GONE);
--- a/src/gateway/gateway-maintenance.ts
+++ b/src/gateway/gateway-maintenance.ts
@@ -27,11 +27,11 @@
 
 /** Starts the background tasks; each ends by itself when the gateway stops. */
 export class GatewayMaintenance {
-  constructor(private readonly parts: GatewayMaintenanceOptions) {}
+  constructor(private readonly options: GatewayMaintenanceOptions) {}
 
   /** Starts all tasks; they run until `stopped` is aborted. */
   start(): void {
-    const { context, logger, stopped } = this.parts;
+    const { context, logger, stopped } = this.options;
     const { environment, mechanisms, traffic } = context;
     void this.forgetSilent();
     void logZoneTraffic({ clock: environment.clock, logger, traffic, stopped });
@@ -39,7 +39,7 @@
   }
 
   private keepWarm(): Promise<void> {
-    const { context, aggregation, endpoint, stopped } = this.parts;
+    const { context, aggregation, endpoint, stopped } = this.options;
     const { clock, random } = context.environment;
     return keepConnectionsWarm({
       clock,
@@ -53,14 +53,14 @@
   }
 
   private shouldKeepWarm(service: string): boolean {
-    const { context, aggregation, endpoint } = this.parts;
+    const { context, aggregation, endpoint } = this.options;
     const { table } = endpoint;
     if (table === undefined) return context.targets.size <= MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES;
     return table.isShard(service) && aggregation.asksItself(service);
   }
 
   private async forgetSilent(): Promise<void> {
-    const { context, directory, stopped } = this.parts;
+    const { context, directory, stopped } = this.options;
     const { clock } = context.environment;
     while (!stopped.aborted) {
       await clock.sleep(FORGET_INTERVAL_MS, stopped).catch(() => undefined);
--- a/src/gateway/health-endpoint.ts
+++ b/src/gateway/health-endpoint.ts
@@ -38,7 +38,10 @@
     return textResponse(404, 'no such path\n');
   }
 
-  /** A gateway that was ready once stays ready without fresh controllers: it can still serve requests. */
+  /**
+   * The loss of fresh controllers alone does not make a gateway unready that has been ready: it can
+   * still serve requests.
+   */
   private readyz(): HttpResponse {
     const { isStopping, hasRoutes, isFresh, acceptsKeys } = this.sources;
     if (isStopping()) return textResponse(503, 'stopping\n');
--- a/src/gateway/part-source.ts
+++ b/src/gateway/part-source.ts
@@ -21,11 +21,14 @@
 export interface PartSource {
   /** Sends the first requests; the listener may be called before `start` returns. */
   start(): void;
-  /** Cancels all attempts; `reason` is logged for attempts that have no reason of their own. */
+  /**
+   * Sends nothing more and ignores parts that still arrive; `reason` is logged for attempts that
+   * have no reason of their own.
+   */
   cancel(reason: string): void;
   /** Number of attempts sent to replicas so far, as far as this gateway knows. */
   readonly sends: number;
-  /** Whether the request was sent to any replica, or may have been. */
+  /** Whether any attempt was sent to a replica, or may have been. */
   readonly mayHaveSent: boolean;
   /** Whether a replica may have run the request, or may still run it. */
   readonly mayRun: boolean;
--- a/src/gateway/planned-stop.ts
+++ b/src/gateway/planned-stop.ts
@@ -3,7 +3,7 @@
 
 /** Fraction of the grace period during which new connections are accepted. */
 const ACCEPTING_FRACTION = 0.6;
-/** Fraction of the grace period by whose end the last response is sent. */
+/** Fraction of the grace period after which the drain ends, also with unanswered requests. */
 const DRAIN_FRACTION = 0.9;
 const DRAIN_POLL_INTERVAL_MS = 50;
 
@@ -22,8 +22,8 @@
  * Keeps serving new requests for part of the grace period, while callers see that the gateway is not
  * ready; then closes idle connections and waits until the requests in flight are answered.
  */
-export async function drainCallers(parts: DrainOptions): Promise<void> {
-  const { clock, graceMs, inFlight, closeListener } = parts;
+export async function drainCallers(options: DrainOptions): Promise<void> {
+  const { clock, graceMs, inFlight, closeListener } = options;
   const startedAt = clock.now();
   await clock.sleep(graceMs * ACCEPTING_FRACTION);
   const closed = closeListener();
--- a/src/gateway/request-decisions.ts
+++ b/src/gateway/request-decisions.ts
@@ -72,7 +72,7 @@
   readonly request: HttpRequest;
   /** The caller's request id; undefined when the request carried none. */
   readonly requestId: string | undefined;
-  /** Undefined when the request was refused before its fingerprint was computed. */
+  /** Set only when the request is refused because it is quarantined. */
   readonly fingerprint: string | undefined;
   readonly refusal: GatewayRefusal;
   readonly reason: string;
@@ -124,7 +124,10 @@
     }));
   }
 
-  /** Logs the loss of a connection to a replica that had received the request and not answered. */
+  /**
+   * Logs that the connection to a replica ended after the request was sent and before the whole
+   * response arrived.
+   */
   logConnectionLost(request: CallerRequest, service: string, attempt: AttemptRecord): void {
     this.log.write(DecisionKind.ConnectionLost, () => ({
       requestId: request.id,
@@ -149,7 +152,10 @@
     }));
   }
 
-  /** Logs input that the listener could not parse as a request, so that it has no request id. */
+  /**
+   * Logs a request that the listener refused because it exceeds a limit or is not valid HTTP; its
+   * request id is not known.
+   */
   logNotRead({ status, remoteAddress }: RefusedRequest): void {
     this.log.write(DecisionKind.NotRead, () => ({ status, remoteAddress }));
   }
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -26,7 +26,10 @@
   readonly shards: readonly string[];
   /** Number of shards of the whole request; more than `shards` where other gateways ask the rest. */
   readonly totalShards: number;
-  /** Another gateway may have sent the request to these shards: every attempt is a second send. */
+  /**
+   * Another gateway may have sent the request to these shards: every attempt counts against the
+   * budget of second sends.
+   */
   readonly isRepeat: boolean;
   /** Passed to the race of each shard. */
   readonly maySendAgain?: ReplicaRaceOptions['maySendAgain'];
--- a/src/gateway/zone-regions.ts
+++ b/src/gateway/zone-regions.ts
@@ -2,7 +2,7 @@
 import type { Route } from '../routes/route-document.js';
 import type { ReplicaTarget } from './replica-target.js';
 
-/** Excludes zones without a known region wherever a route restricts regions. */
+/** Knows the regions that the settings of this gateway name, and its own. */
 export class ZoneRegions {
   private readonly regions: ReadonlyMap<string, string>;
 
@@ -15,15 +15,18 @@
   }
 
   /**
-   * Whether the route disallows the region of some zone. Zones without a configured region are not
-   * considered.
+   * Whether the route disallows the region of some zone that has a known region. Zones without one
+   * do not count here, although `permitted` excludes their replicas.
    */
   restricts({ allowedRegions }: Route): boolean {
     if (allowedRegions === undefined) return false;
     return [...this.regions.values()].some((region) => !allowedRegions.includes(region));
   }
 
-  /** Filters `targets` to those in regions that the route allows. */
+  /**
+   * Filters `targets` to those in regions that the route allows. If the route restricts regions,
+   * replicas in zones without a known region are excluded.
+   */
   permitted(
     { allowedRegions }: Route,
     targets: readonly ReplicaTarget[],
--- a/test/gateway/evacuation.test.ts
+++ b/test/gateway/evacuation.test.ts
@@ -94,7 +94,7 @@
     expect([near.arrivals, far.arrivals]).toEqual([0, 0]);
   });
 
-  it('gets no part of a fan-out, and its shards are answered from other zones', async () => {
+  it('gets no part of a fan-out, and every shard is answered from another zone', async () => {
     const harness = await GatewayHarness.start();
     const near = await harness.addReplica('shard-a', 'a'.repeat(16), 'nayoro');
     await harness.addReplica('shard-a', 'b'.repeat(16), 'wakkanai');
--- a/test/gateway/fan-out.test.ts
+++ b/test/gateway/fan-out.test.ts
@@ -90,7 +90,7 @@
     expect(partsOf(after)).toHaveLength(other.length);
   });
 
-  it('refuses as not run, and sends nothing, when too few shards have a replica', async () => {
+  it('refuses as not run, and runs nothing, when too few shards have a replica', async () => {
     const { harness, replicas } = await start(['shard-a', 'shard-b']);
     const answer = await harness.call({ path: '/q/1' });
     expect(answer.status).toBe(503);
--- a/test/gateway/forwarding.test.ts
+++ b/test/gateway/forwarding.test.ts
@@ -72,7 +72,7 @@
     ReplicaBehaviour.Unsigned,
     ReplicaBehaviour.RefuseUnnamed,
   ]) {
-    it(`never runs a request twice that is not repeatable, after ${behaviour}`, async () => {
+    it(`never runs a non-repeatable request twice after ${behaviour}`, async () => {
       const harness = await GatewayHarness.start();
       const replicas = [await harness.addReplica('pledge'), await harness.addReplica('pledge')];
       for (const replica of replicas) replica.behaviour = behaviour;
@@ -108,7 +108,7 @@
     expect(statuses).toEqual(Array.from({ length: 10 }, () => 200));
   });
 
-  it('responds "not run" with a retry-after when no replica ran the request', async () => {
+  it('responds "not run" with a retry-after when every replica refuses, and none runs it', async () => {
     const harness = await GatewayHarness.start();
     const replicas = [await harness.addReplica('ledger'), await harness.addReplica('ledger')];
     for (const replica of replicas) replica.behaviour = ReplicaBehaviour.Refuse;
@@ -148,7 +148,7 @@
     await harness.putRoutes([{ pathPrefix: '/l/', service: 'ledger', targetLatencyMs: 200 }]);
     const begunAt = harness.machine.environment.clock.now();
     expect((await harness.call({ path: '/l/1' })).status).toBe(503);
-    // About a quarter of the target latency, so that a retry can still be in time.
+    // At most 30 % of the target latency, so that a retry can still be in time.
     expect(harness.machine.environment.clock.now() - begunAt).toBeLessThan(60);
   });
 });
--- a/test/gateway/gateway-harness.ts
+++ b/test/gateway/gateway-harness.ts
@@ -235,7 +235,7 @@
     return this.group.simulation;
   }
 
-  /** Adds a replica of the service and starts it on a machine of its own. */
+  /** Starts a replica of the service on a machine of its own; it registers in the background. */
   async addReplica(
     service: string,
     content = '',
--- a/test/gateway/replica-model.ts
+++ b/test/gateway/replica-model.ts
@@ -43,7 +43,10 @@
     readonly workMs: number,
   ) {}
 
-  /** Resolves when the replica answers, and never while it hangs. Skips the work if `isGone()` by then. */
+  /**
+   * Resolves when the replica answers; never if it hangs. Skips the work if `isGone` returns true
+   * when a slot is free.
+   */
   async serve(isGone: () => boolean): Promise<'ran' | 'refused'> {
     if (this.running + this.queue.length >= SLOTS + QUEUE_LIMIT) return 'refused';
     if (this.running >= SLOTS) await new Promise<void>((resolve) => this.queue.push(resolve));
--- a/test/gateway/tenant-identity.test.ts
+++ b/test/gateway/tenant-identity.test.ts
@@ -57,7 +57,7 @@
   return replicas.flatMap(({ runs }) => runs.map(({ headers }) => headers));
 }
 
-/** Number of attempts beyond the first for the same request and service. */
+/** Number of runs beyond the first of the same request at the same service. */
 function sentAgain({ replicas }: Fleet): number {
   const sendings = replicas.flatMap(({ options, runs }) =>
     runs.map(({ requestId }) => `${options.service} ${requestId}`),
