--- a/src/gateway/create-directory-client.ts
+++ b/src/gateway/create-directory-client.ts
@@ -1,4 +1,4 @@
-/** Makes the client by which a gateway follows controllers. */
+/** Creates the directory client with which a gateway follows the controllers. */
 import type { GatewayConfiguration } from '../configuration/gateway-configuration.js';
 import { DirectoryClient } from '../directory/directory-client.js';
 import { SubscriberKind } from '../directory/directory-messages.js';
@@ -10,10 +10,10 @@
 import { formatAddress } from '../seams/address.js';
 import type { Environment } from '../seams/environment.js';
 
-/** Controllers that a gateway follows: one near, and one in case that it is lost. */
-const FOLLOWED_CONTROLLERS = 2;
+/** One nearby controller, and another one in case the first is lost. */
+const CONTROLLERS_TO_FOLLOW = 2;
 
-/** What the client is made of. */
+/** Settings and collaborators of the client. */
 export interface GatewayDirectoryOptions {
   readonly environment: Environment;
   readonly configuration: GatewayConfiguration;
@@ -24,12 +24,13 @@
   readonly traffic: ZoneTraffic;
 }
 
+/** Uses the configured controllers as seeds, and reports the gather address, if any, to them. */
 export function createDirectoryClient(options: GatewayDirectoryOptions): DirectoryClient {
   const { configuration, ...parts } = options;
   const { zone, controllers, listen } = configuration;
   const client = new DirectoryClient({
     ...parts,
-    followed: FOLLOWED_CONTROLLERS,
+    followed: CONTROLLERS_TO_FOLLOW,
     ...(listen.messages === undefined ? {} : { gatherAddress: formatAddress(listen.messages) }),
     subscriberKind: SubscriberKind.Gateway,
     zone,
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -1,22 +1,22 @@
-/** Puts orders to evacuate zones in force at this gateway. */
+/** Applies zone evacuation orders at this gateway. */
 import { EvacuatedZones } from '../evacuations/evacuated-zones.js';
 import type { ZoneEvacuation } from '../evacuations/zone-evacuation.js';
 import type { Logger } from '../observability/logger.js';
 import type { GatewayContext } from './gateway-context.js';
 
-/** See the module comment. */
+/** Keeps the latest order per zone and passes the evacuated zones to the replica targets. */
 export class EvacuationsInForce {
-  private readonly known = new EvacuatedZones();
+  private readonly evacuatedZones = new EvacuatedZones();
 
   constructor(
     private readonly context: Pick<GatewayContext, 'targets' | 'metrics'>,
     private readonly logger: Logger,
   ) {}
 
-  /** A controller told of the last order about a zone; older word than is known changes nothing. */
+  /** Applies a zone's order from a controller, unless it is no newer than the known one. */
   take(evacuation: ZoneEvacuation): void {
-    if (!this.known.take(evacuation)) return;
-    const { zones } = this.known;
+    if (!this.evacuatedZones.take(evacuation)) return;
+    const { zones } = this.evacuatedZones;
     this.context.targets.useEvacuatedZones(zones);
     this.context.metrics.evacuatedZones.set(zones.size);
     const { zone, isEvacuated, revision } = evacuation;
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway daemon: forwards callers' HTTP requests to replicas by the route
- * document, and merges the answers of those that go to all shards. Holds no disk.
+ * The gateway daemon: forwards callers' HTTP requests to replicas according to the route
+ * document, and merges the parts of requests that go to all shards. It stores nothing on disk.
  */
 import { Aggregation } from '../aggregation/aggregation.js';
 import { observe } from '../control-stream/observe.js';
@@ -30,12 +30,12 @@
 import type { GatewayContext } from './gateway-context.js';
 import { GatewayEndpoint } from './gateway-endpoint.js';
 import { GatewayTenants } from './gateway-tenants.js';
-import { GatewayUpkeep } from './gateway-upkeep.js';
-import { HEALTH_OPTIONS, HealthEndpoint } from './health-endpoint.js';
-import { answerBeforeStop } from './planned-stop.js';
+import { GatewayMaintenance } from './gateway-maintenance.js';
+import { HEALTH_LISTENER_OPTIONS, HealthEndpoint } from './health-endpoint.js';
+import { drainCallers } from './planned-stop.js';
 import { ZoneRegions } from './zone-regions.js';
 
-/** A running gateway. */
+/** One gateway, from {@link GatewayDaemon.start} until {@link GatewayDaemon.stop}. */
 export class GatewayDaemon {
   private readonly logger: Logger;
   private readonly directory: ReplicaDirectory;
@@ -45,9 +45,9 @@
   private readonly context: GatewayContext;
   private readonly endpoint: GatewayEndpoint;
   private readonly aggregation: Aggregation;
-  private readonly ended = new AbortController();
+  private readonly shutdown = new AbortController();
   private isStopping = false;
-  private callers: HttpListener | undefined;
+  private callerListener: HttpListener | undefined;
   private health: HttpListener | undefined;
 
   private constructor(
@@ -88,9 +88,9 @@
   }
 
   /**
-   * Starts a gateway that listens and follows the controllers.
+   * Starts a gateway that follows the controllers; resolves once it listens.
    *
-   * @throws ConnectionError when an address cannot be listened on.
+   * @throws ConnectionError when it cannot listen on one of its addresses.
    */
   static async start(
     environment: Environment,
@@ -100,36 +100,37 @@
   ): Promise<GatewayDaemon> {
     const daemon = new GatewayDaemon(environment, configuration, telemetry, headers);
     try {
-      await daemon.open();
+      await daemon.listen();
     } catch (error) {
-      // Streams to controllers would keep the process of a gateway that serves nobody.
-      await daemon.callers?.close();
+      // Open streams to controllers would keep the process alive although the gateway serves nobody.
+      await daemon.callerListener?.close();
       await daemon.release();
       throw error;
     }
     return daemon;
   }
 
-  /** Where callers reach it. */
+  /** Address on which the gateway accepts callers. Throws before the gateway listens. */
   get address(): Address {
-    if (this.callers === undefined) throw new Error('the gateway does not listen yet');
-    return this.callers.address;
+    if (this.callerListener === undefined)
+      throw new Error('the gateway is not listening for callers yet');
+    return this.callerListener.address;
   }
 
-  /** Controllers whose stream is open. */
+  /** Number of controllers to which a stream is open. */
   get followedControllers(): number {
     return this.client.openLinks;
   }
 
-  /** Follows other controllers from now on; those that they name are followed too. */
+  /** Replaces the seed controllers; the gateway may also follow controllers that the seeds name. */
   useControllers(addresses: readonly Address[]): void {
     this.client.useSeeds(addresses.map(formatAddress));
   }
 
   /**
-   * Planned stop: not ready at once, so that callers are sent elsewhere, while
-   * new requests are still served; then idle connections are closed and the
-   * requests in flight answered.
+   * Planned stop. The gateway reports not ready at once, so that callers are sent to other
+   * gateways, but keeps serving new requests for a while; then it closes idle connections and
+   * answers the requests in flight. A second call returns at once.
    */
   async stop(): Promise<void> {
     if (this.isStopping) return;
@@ -138,19 +139,19 @@
     const { stopGraceMs } = this.configuration;
     this.logger.info('gateway stopping', { inFlight: this.inFlight });
     this.aggregation.stopTaking();
-    await answerBeforeStop({
+    await drainCallers({
       clock,
       graceMs: stopGraceMs,
       inFlight: () => this.inFlight,
-      closeListener: () => this.callers?.close(),
+      closeListener: () => this.callerListener?.close(),
     });
     await this.release();
     this.logger.info('gateway stopped', { inFlight: this.inFlight });
   }
 
-  /** Closes all but the listener of callers, whose answers come first in a planned stop. */
+  /** Closes everything but the listener for callers, which a planned stop drains first. */
   private async release(): Promise<void> {
-    this.ended.abort(new Error('stopped'));
+    this.shutdown.abort(new Error('stopped'));
     await this.health?.close();
     await this.client.stop();
     await this.tenants.stop();
@@ -158,7 +159,7 @@
     this.context.targets.stop();
   }
 
-  /** Requests of callers, and of other gateways, that have no answer yet. */
+  /** Number of unanswered requests from callers and other gateways. */
   private get inFlight(): number {
     return this.endpoint.inFlight + this.aggregation.inProgress;
   }
@@ -178,7 +179,7 @@
       telemetry: { ...this.telemetry, logger: this.logger },
       leaves: () => this.client.knownGateways,
       table: () => this.endpoint.table,
-      stopped: this.ended.signal,
+      stopped: this.shutdown.signal,
     });
   }
 
@@ -189,7 +190,7 @@
       identity: this.identity,
       telemetry: { ...this.telemetry, logger: this.logger },
       client: this.client,
-      stopped: this.ended.signal,
+      stopped: this.shutdown.signal,
     });
   }
 
@@ -213,29 +214,31 @@
     });
   }
 
-  private async open(): Promise<void> {
+  private async listen(): Promise<void> {
     const { listen, limits } = this.configuration;
     const { network } = this.environment;
     if (listen.messages !== undefined) await this.aggregation.listen(listen.messages);
     this.aggregation.start();
     const options: HttpListenOptions = {
       ...limits,
-      onRefused: (refused) => this.noteRefused(refused),
+      onRefused: (refused) => this.noteUnreadRequest(refused),
     };
-    this.callers = await network.listenHttp(listen.http, options, (request) => this.serve(request));
+    this.callerListener = await network.listenHttp(listen.http, options, (request) =>
+      this.serve(request),
+    );
     const health = this.createHealthEndpoint();
-    this.health = await network.listenHttp(listen.health, HEALTH_OPTIONS, (request) =>
+    this.health = await network.listenHttp(listen.health, HEALTH_LISTENER_OPTIONS, (request) =>
       health.handle(request),
     );
     void this.tenants.renewLease();
-    this.startUpkeep();
+    this.startMaintenance();
     this.logger.info('gateway listening', { http: formatAddress(this.address) });
   }
 
-  private startUpkeep(): void {
+  private startMaintenance(): void {
     const { context, directory, aggregation, endpoint, logger } = this;
-    const stopped = this.ended.signal;
-    new GatewayUpkeep({ context, directory, aggregation, endpoint, logger, stopped }).start();
+    const stopped = this.shutdown.signal;
+    new GatewayMaintenance({ context, directory, aggregation, endpoint, logger, stopped }).start();
   }
 
   private createHealthEndpoint(): HealthEndpoint {
@@ -248,10 +251,10 @@
     });
   }
 
-  private noteRefused(refused: RefusedRequest): void {
+  private noteUnreadRequest(refused: RefusedRequest): void {
     const { metrics, decisions } = this.context;
     metrics.requests.inc({ status: String(refused.status) });
-    decisions.notRead(refused);
+    decisions.logNotRead(refused);
   }
 
   private async serve(request: HttpRequest): Promise<HttpResponse> {
@@ -265,7 +268,7 @@
       const table = new RouteTable(readRouteDocument(content), this.endpoint.table);
       this.endpoint.useTable(table);
       this.tenants.useTable(table);
-      this.callers?.setIdleTimeout(table.limits.idleTimeoutMs);
+      this.callerListener?.setIdleTimeout(table.limits.idleTimeoutMs);
       this.context.metrics.routeVersion.set(version);
       this.logger.info('route document in force', { version, controller });
     } catch (error) {
--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -1,4 +1,7 @@
-/** Takes callers' requests: finds the route, pins the version and gets the answer. */
+/**
+ * Handles callers' requests: pins each to the route table in force, finds its route, checks the API
+ * key, quarantine and tenant limit, and forwards the request.
+ */
 import { randomUUID } from 'node:crypto';
 import { fingerprintOf } from '../quarantine/request-fingerprint.js';
 import type { Route } from '../routes/route-document.js';
@@ -18,49 +21,49 @@
 import { TableInForce } from './table-in-force.js';
 import { withTenant } from './tenant-headers.js';
 
-/** Time that the answer needs to get back to the caller before its deadline. Milliseconds. */
+/** Time reserved for the response to reach the caller before its deadline. Milliseconds. */
 const RETURN_MARGIN_MS = 5;
 
 const HTTP_TOO_MANY_REQUESTS = 429;
 const HTTP_UNAVAILABLE = 503;
 
-/** What a request goes by. */
+/** The table, route and tenant by which a request is handled. */
 interface MatchedRoute {
   readonly table: RouteTable;
   readonly route: Route;
   readonly tenant: Tenant | undefined;
 }
 
-/** What is known of a rejected request besides the reason. */
+/** Optional details of a rejected request. */
 interface RejectionDetails {
   readonly fingerprint?: string;
-  /** Milliseconds. */
+  /** Time until a retry may be admitted. Milliseconds. */
   readonly retryAfterMs?: number;
 }
 
-/** See the module comment. */
+/** Serves callers while the table in force may change; counts and times each request. */
 export class GatewayEndpoint {
-  private readonly tables: TableInForce;
-  /** Requests that have no answer yet. */
+  private readonly tableInForce: TableInForce;
+  /** Number of unanswered requests. */
   inFlight = 0;
-  private readonly splits: SplitChooser;
+  private readonly splitChooser: SplitChooser;
 
   constructor(
     private readonly context: GatewayContext,
     private readonly planSources: PlanSources,
   ) {
-    this.tables = new TableInForce(context.environment.clock);
-    this.splits = new SplitChooser(context.environment.random);
+    this.tableInForce = new TableInForce(context.environment.clock);
+    this.splitChooser = new SplitChooser(context.environment.random);
   }
 
-  /** The route table in force; undefined before the first. */
+  /** The route table in force; undefined before the first one arrives. */
   get table(): RouteTable | undefined {
-    return this.tables.current;
+    return this.tableInForce.current;
   }
 
-  /** Puts a table in force for requests from now on. */
+  /** Puts a table in force for new requests; requests in flight keep theirs. */
   useTable(table: RouteTable): void {
-    this.tables.use(table);
+    this.tableInForce.use(table);
   }
 
   async handle(request: HttpRequest): Promise<HttpResponse> {
@@ -78,8 +81,9 @@
   }
 
   private async route(request: HttpRequest, receivedAt: number): Promise<HttpResponse> {
-    if (this.table === undefined) await this.tables.wait(this.statedDeadline(request));
-    // Not the one that was waited for: the lease is for the table in force.
+    if (this.table === undefined)
+      await this.tableInForce.waitForFirst(this.callerTimeoutMs(request));
+    // Not the awaited table: a newer one may be in force, to which the lease applies.
     const { table } = this;
     if (request.signal.aborted) {
       return this.reject(request, GatewayRefusal.NotRun, CALLER_GONE);
@@ -111,7 +115,7 @@
     return this.forwardWithinLimits(request, callerRequest, tenant);
   }
 
-  /** Sends the request of a tenant on, where its key and its limit allow it now. */
+  /** Forwards a tenant's request if the authorization lease is held and the tenant's limit admits it. */
   private async forwardWithinLimits(
     request: HttpRequest,
     callerRequest: CallerRequest,
@@ -138,12 +142,12 @@
     }
     const takenAt = this.context.environment.clock.now();
     const response = await this.forward(callerRequest);
-    if (this.ranNowhere(response)) quota.giveBack(tenant, takenAt);
+    if (this.isCertainlyNotRun(response)) quota.giveBack(tenant, takenAt);
     return response;
   }
 
-  /** Whether the answer is this gateway's own word that the request was not run. */
-  private ranNowhere({ status, headers = {} }: HttpResponse): boolean {
+  /** Whether this gateway itself produced the response, and it states that the request was not run. */
+  private isCertainlyNotRun({ status, headers = {} }: HttpResponse): boolean {
     const isRefusal = status === HTTP_TOO_MANY_REQUESTS || status === HTTP_UNAVAILABLE;
     return isRefusal && headers[this.context.headers.signature] === undefined;
   }
@@ -161,7 +165,7 @@
   ): HttpResponse {
     const response = refuse(refusal, reason, retryAfterMs);
     this.context.metrics.refusals.inc({ reason: refusal });
-    this.context.decisions.notForwarded({
+    this.context.decisions.logNotForwarded({
       request,
       requestId: request.headers[this.context.headers.requestId],
       fingerprint,
@@ -182,21 +186,21 @@
     const { method, target, body } = request;
     const headers = this.headersToSend(request, table, tenant);
     const id = request.headers[requestId] ?? randomUUID();
-    const patience = this.statedDeadline(request) - RETURN_MARGIN_MS;
+    const usableMs = this.callerTimeoutMs(request) - RETURN_MARGIN_MS;
     return {
       id,
       method,
       target,
       headers: { ...headers, [requestId]: id },
       body,
-      // Of the headers that go on, as a gateway that gathers for this one has no others.
+      // Uses the forwarded headers only: a gateway that gathers for this one sees no others.
       fingerprint: fingerprintOf({ method, target, headers, body, tenant: tenant?.name }),
       signal: request.signal,
       table,
       route,
       tenant,
       receivedAt,
-      deadline: receivedAt + Math.max(1, Math.min(route.timeoutMs, patience)),
+      deadline: receivedAt + Math.max(1, Math.min(route.timeoutMs, usableMs)),
     };
   }
 
@@ -209,8 +213,8 @@
     return tenants === undefined ? headers : withTenant(headers, this.context.headers, tenant);
   }
 
-  /** How long the caller says it will wait; Infinity when it does not say. Milliseconds. */
-  private statedDeadline(request: HttpRequest): number {
+  /** Timeout from the caller's deadline header; Infinity when absent or invalid. Milliseconds. */
+  private callerTimeoutMs(request: HttpRequest): number {
     const stated = Number(request.headers[this.context.headers.deadline] ?? Infinity);
     return stated > 0 ? stated : Infinity;
   }
@@ -220,7 +224,7 @@
     if (shards !== undefined) {
       return new FanOut(this.context, request, shards, this.planSources).run();
     }
-    const chosen = split === undefined ? service : this.splits.choose(request.route, split);
+    const chosen = split === undefined ? service : this.splitChooser.choose(request.route, split);
     return forwardSingle(this.context, request, chosen ?? '');
   }
 }
--- a/src/gateway/gateway-upkeep.ts
+++ b/src/gateway/gateway-maintenance.ts
@@ -1,4 +1,4 @@
-/** What a gateway does in the background: connections kept warm, silent replicas forgotten, traffic logged. */
+/** Background tasks of a gateway: warms connections, drops silent replicas, logs zone traffic. */
 import type { Aggregation } from '../aggregation/aggregation.js';
 import type { ReplicaDirectory } from '../directory/replica-directory.js';
 import type { Logger } from '../observability/logger.js';
@@ -7,13 +7,16 @@
 import type { GatewayContext } from './gateway-context.js';
 import type { GatewayEndpoint } from './gateway-endpoint.js';
 
-/** So few replicas are connected to before the first routes say which are asked from here. */
-const FEW_REPLICAS = 128;
-/** How often forgotten replicas are looked for. */
+/**
+ * Before the first route table shows which replicas this gateway sends to, connections are warmed
+ * only if the gateway knows at most this many replicas.
+ */
+const MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES = 128;
+/** Interval between checks for silent replicas. */
 const FORGET_INTERVAL_MS = 500;
 
-/** What it works on. */
-export interface GatewayUpkeepParts {
+/** Collaborators of {@link GatewayMaintenance}. */
+export interface GatewayMaintenanceOptions {
   readonly context: GatewayContext;
   readonly directory: ReplicaDirectory;
   readonly aggregation: Aggregation;
@@ -22,13 +25,13 @@
   readonly stopped: AbortSignal;
 }
 
-/** See the module comment. */
-export class GatewayUpkeep {
-  constructor(private readonly parts: GatewayUpkeepParts) {}
+/** Starts the background tasks; each ends by itself when the gateway stops. */
+export class GatewayMaintenance {
+  constructor(private readonly options: GatewayMaintenanceOptions) {}
 
-  /** Runs until stopped. */
+  /** Starts all tasks; they run until `stopped` is aborted. */
   start(): void {
-    const { context, logger, stopped } = this.parts;
+    const { context, logger, stopped } = this.options;
     const { environment, mechanisms, traffic } = context;
     void this.forgetSilent();
     void logZoneTraffic({ clock: environment.clock, logger, traffic, stopped });
@@ -36,28 +39,28 @@
   }
 
   private keepWarm(): Promise<void> {
-    const { context, aggregation, endpoint, stopped } = this.parts;
+    const { context, aggregation, endpoint, stopped } = this.options;
     const { clock, random } = context.environment;
     return keepConnectionsWarm({
       clock,
       random,
       targets: () => aggregation.firstAsked(),
-      isWorthIt: (service) => this.isAskedOften(service),
+      isWorthIt: (service) => this.shouldKeepWarm(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
       stopped,
     });
   }
 
-  private isAskedOften(service: string): boolean {
-    const { context, aggregation, endpoint } = this.parts;
+  private shouldKeepWarm(service: string): boolean {
+    const { context, aggregation, endpoint } = this.options;
     const { table } = endpoint;
-    if (table === undefined) return context.targets.size <= FEW_REPLICAS;
+    if (table === undefined) return context.targets.size <= MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES;
     return table.isShard(service) && aggregation.asksItself(service);
   }
 
   private async forgetSilent(): Promise<void> {
-    const { context, directory, stopped } = this.parts;
+    const { context, directory, stopped } = this.options;
     const { clock } = context.environment;
     while (!stopped.aborted) {
       await clock.sleep(FORGET_INTERVAL_MS, stopped).catch(() => undefined);
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -1,4 +1,4 @@
-/** Asks one replica of each of some shards, and further ones of those that are late or fail. */
+/** Sends a request to one replica of each given shard, and to further ones if it is late or fails. */
 import type { LogFields } from '../observability/logger.js';
 import type { Timer } from '../seams/clock.js';
 import { attemptFields } from './attempt-record.js';
@@ -8,25 +8,34 @@
 import { ReplicaRace, type ReplicaRaceOptions } from './replica-race.js';
 import { targetLatencyOf } from './route-latencies.js';
 
-/** After this part of the target, late shards are looked at once more. */
-const HEDGE_AGAIN_PART = 0.15;
-/** Shards whose replicas could not take the request are tried again within this part of it. */
-const RETRY_PART = 0.6;
-/** A merged answer is worth the square of the share of its shards, so each shard weighs twice its share. */
+/** Delay of the second hedge after the first, as a fraction of the target latency. */
+const SECOND_HEDGE_FRACTION = 0.15;
+/**
+ * Shards whose replicas could not accept the request are retried within this fraction of the target
+ * latency.
+ */
+const RETRY_FRACTION = 0.6;
+/**
+ * The worth of a merged response is the square of the fraction of shards that it holds, so losing
+ * one shard costs about twice that shard's fraction.
+ */
 const COVERAGE_EXPONENT = 2;
 
-/** What is asked. */
+/** The shards to ask and how their attempts count. */
 export interface ShardGatherOptions {
   readonly shards: readonly string[];
-  /** Shards of the whole request; more than `shards` where other gateways ask the rest. */
+  /** Number of shards of the whole request; more than `shards` where other gateways ask the rest. */
   readonly totalShards: number;
-  /** Another gateway may have sent the request to these shards: every sending counts as a further one. */
+  /**
+   * Another gateway may have sent the request to these shards: every attempt counts against the
+   * budget of second sends.
+   */
   readonly isRepeat: boolean;
-  /** Of each shard's race. */
+  /** Passed to the race of each shard. */
   readonly maySendAgain?: ReplicaRaceOptions['maySendAgain'];
 }
 
-/** See the module comment. */
+/** Runs one {@link ReplicaRace} per shard and reports each part as it arrives. */
 export class ShardGather implements PartSource {
   private readonly races: ReplicaRace[] = [];
   private readonly timers: Timer[] = [];
@@ -54,7 +63,7 @@
     return this.races.reduce((sum, race) => sum + race.sends, 0);
   }
 
-  get isOffered(): boolean {
+  get mayHaveSent(): boolean {
     return this.races.some((race) => race.sends > 0);
   }
 
@@ -76,16 +85,16 @@
     const { hedgeDelay } = this.context.latencies.of(route);
     this.timers.push(clock.setTimer(hedgeDelay, () => this.hedge()));
     if (!this.context.mechanisms.secondHedge) return;
-    // For those that found no room or no budget the first time.
-    const again = hedgeDelay + targetLatencyOf(route) * HEDGE_AGAIN_PART;
-    this.timers.push(clock.setTimer(again, () => this.hedge()));
+    // Covers shards for which the first hedge found no replica with room or no budget.
+    const secondHedgeDelay = hedgeDelay + targetLatencyOf(route) * SECOND_HEDGE_FRACTION;
+    this.timers.push(clock.setTimer(secondHedgeDelay, () => this.hedge()));
   }
 
   private startRaces(): void {
     const { shards, totalShards, isRepeat, maySendAgain } = this.options;
     const { receivedAt, route } = this.request;
     const latency = this.context.latencies.of(route);
-    const retryUntil = receivedAt + targetLatencyOf(route) * RETRY_PART;
+    const retryUntil = receivedAt + targetLatencyOf(route) * RETRY_FRACTION;
     const stake = Math.min(1, COVERAGE_EXPONENT / totalShards);
     for (const service of shards) {
       this.races.push(
@@ -96,7 +105,7 @@
           isRepeat,
           retryUntil,
           maySendAgain,
-          onEnd: (race) => this.take(race),
+          onEnd: (race) => this.onRaceEnd(race),
         }),
       );
     }
@@ -106,14 +115,14 @@
     }
   }
 
-  /** Asks a second replica of each shard that has not answered yet. */
+  /** Sends to a second replica of each shard that has not answered yet. */
   hedge(): void {
     for (const race of this.races) {
       if (race.hedge()) this.context.metrics.hedges.inc();
     }
   }
 
-  private take({ service, outcome }: ReplicaRace): void {
+  private onRaceEnd({ service, outcome }: ReplicaRace): void {
     if (this.isCancelled || outcome === undefined) return;
     if (outcome.kind === 'failed') {
       this.listener.onFailed([service]);
--- a/test/gateway/evacuation.test.ts
+++ b/test/gateway/evacuation.test.ts
@@ -2,11 +2,12 @@
 import type { ExchangeReplica } from '../../lab/exchange/exchange-replica.js';
 import { GatewayHarness, textOf } from './gateway-harness.js';
 
-/** Time in which an order is in force at every gateway: far below the five seconds allowed. */
-const IN_FORCE_MS = 1_500;
-const REST_MS = 12_000;
-/** The way to the gateway and back; waiting for room would take 40 ms more. */
-const AT_ONCE_MS = 30;
+/** An order is in force at every gateway within this time; five seconds are allowed. Milliseconds. */
+const PROPAGATION_MS = 1_500;
+/** Longer than the interval between health checks of unused replicas. Milliseconds. */
+const OBSERVED_MS = 12_000;
+/** Covers a round trip to the gateway; waiting for a replica would take 40 ms longer. Milliseconds. */
+const IMMEDIATE_ANSWER_MS = 30;
 
 interface TwoZones {
   readonly harness: GatewayHarness;
@@ -30,70 +31,70 @@
   return answers;
 }
 
-describe('a zone that is evacuated', () => {
-  it('gets no request and no health check until that is taken back', async () => {
+describe('an evacuated zone', () => {
+  it('gets no requests and no health checks until the evacuation ends', async () => {
     const { harness, near } = await startTwoZones();
     expect(await answersOf(harness, 4)).toContain('near');
     expect(await harness.evacuate('nayoro', true)).toBe(200);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { arrivals, healthChecks } = near;
     expect(await answersOf(harness, 10)).toEqual(new Set(['far']));
-    await harness.simulation.runFor(REST_MS);
+    await harness.simulation.runFor(OBSERVED_MS);
     expect(near.arrivals).toBe(arrivals);
     expect(near.healthChecks).toBe(healthChecks);
     expect(await harness.evacuate('nayoro', false, 2)).toBe(200);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     expect(await answersOf(harness, 10)).toContain('near');
   });
 
-  it('gets no hedge and no retry', async () => {
+  it('gets no hedges and no retries', async () => {
     const { harness, near, far } = await startTwoZones();
     await harness.evacuate('wakkanai', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     near.workMs = 900;
     expect((await harness.call({ path: '/ledger/1' })).status).toBe(200);
     expect(far.arrivals).toBe(0);
   });
 
-  it('gets nothing from a gateway that starts meanwhile', async () => {
+  it('gets no requests from a gateway that starts during the evacuation', async () => {
     const { harness, near } = await startTwoZones();
     await harness.evacuate('nayoro', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { arrivals } = near;
     await harness.restartGateway();
     for (let index = 0; index < 30; index += 1) await harness.call({ path: '/ledger/1' });
     expect(near.arrivals).toBe(arrivals);
   });
 
-  it('stays evacuated over a loss of all power', async () => {
+  it('stays evacuated after controllers and gateway lose power at once', async () => {
     const { harness, near } = await startTwoZones();
     await harness.evacuate('nayoro', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { arrivals } = near;
     harness.losePower();
     await harness.restartControllers();
     await harness.restartGateway();
     for (let index = 0; index < 30; index += 1) await harness.call({ path: '/ledger/1' });
-    await harness.simulation.runFor(REST_MS);
+    await harness.simulation.runFor(OBSERVED_MS);
     expect(textOf(await harness.call({ path: '/ledger/1' }))).toBe('far');
     expect(near.arrivals).toBe(arrivals);
   });
 
-  it('leaves callers a refusal as not run when it holds all replicas of a service', async () => {
+  it('causes an immediate refusal as not run when every replica of the service is evacuated', async () => {
     const { harness, near, far } = await startTwoZones();
     await harness.evacuate('nayoro', true);
     await harness.evacuate('wakkanai', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { clock } = harness.machine.environment;
     const sentAt = clock.now();
     const answer = await harness.call({ path: '/ledger/1' });
     expect(answer.status).toBe(503);
-    expect(clock.now() - sentAt).toBeLessThan(AT_ONCE_MS);
+    expect(clock.now() - sentAt).toBeLessThan(IMMEDIATE_ANSWER_MS);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
     expect([near.arrivals, far.arrivals]).toEqual([0, 0]);
   });
 
-  it('is left out of a fan-out, whose other shards are answered', async () => {
+  it('gets no part of a fan-out, and every shard is answered from another zone', async () => {
     const harness = await GatewayHarness.start();
     const near = await harness.addReplica('shard-a', 'a'.repeat(16), 'nayoro');
     await harness.addReplica('shard-a', 'b'.repeat(16), 'wakkanai');
@@ -101,15 +102,15 @@
     const shards = ['shard-a', 'shard-b'];
     await harness.putRoutes([{ pathPrefix: '/all/', shards, topRecords: 2 }]);
     await harness.evacuate('nayoro', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const answer = await harness.call({ path: '/all/1' });
     expect(textOf(answer)).toBe('c'.repeat(16) + 'b'.repeat(16));
     expect(near.arrivals).toBe(0);
   });
 });
 
-describe('a route that names regions', () => {
-  it('sends nothing to replicas elsewhere', async () => {
+describe('a route with allowed regions', () => {
+  it('sends nothing to replicas in other or unknown regions', async () => {
     const zones = { nayoro: 'dohoku', wakkanai: 'soya' };
     const harness = await GatewayHarness.start(7, { zones });
     const near = await harness.addReplica('ledger', 'near', 'nayoro');
