--- a/src/aggregation/relayed-gather.ts
+++ b/src/aggregation/relayed-gather.ts
@@ -17,7 +17,7 @@
 
   /** The root has granted second sendings: what waits for that in any group goes on. */
   hedge(): void {
-    for (const group of this.groups) group.takeGrant();
+    for (const group of this.groups) group.handleGrant();
   }
 
   get sends(): number {
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -15,7 +15,7 @@
 
   /** A controller told of the last order about a zone; older word than is known changes nothing. */
   take(evacuation: ZoneEvacuation): void {
-    if (!this.known.take(evacuation)) return;
+    if (!this.known.update(evacuation)) return;
     const { zones } = this.known;
     this.context.targets.useEvacuatedZones(zones);
     this.context.metrics.evacuatedZones.set(zones.size);
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -137,7 +137,7 @@
     const { clock } = this.environment;
     const { stopGraceMs } = this.configuration;
     this.logger.info('gateway stopping', { inFlight: this.inFlight });
-    this.aggregation.stopTaking();
+    this.aggregation.stopAccepting();
     await answerBeforeStop({
       clock,
       graceMs: stopGraceMs,
--- a/src/gateway/gateway-upkeep.ts
+++ b/src/gateway/gateway-upkeep.ts
@@ -41,7 +41,7 @@
     return keepConnectionsWarm({
       clock,
       random,
-      targets: () => aggregation.firstAsked(),
+      targets: () => aggregation.preferredTargets(),
       isWorthIt: (service) => this.isAskedOften(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
@@ -53,7 +53,7 @@
     const { context, aggregation, endpoint } = this.parts;
     const { table } = endpoint;
     if (table === undefined) return context.targets.size <= FEW_REPLICAS;
-    return table.isShard(service) && aggregation.asksItself(service);
+    return table.isShard(service) && aggregation.queriesDirectly(service);
   }
 
   private async forgetSilent(): Promise<void> {
--- a/test/aggregation/group-gather.test.ts
+++ b/test/aggregation/group-gather.test.ts
@@ -68,7 +68,7 @@
     first.callbacks?.onLost();
     expect(second.callbacks).toBeUndefined();
     mayRepeat.isGranted = true;
-    gather.takeGrant();
+    gather.handleGrant();
     second.callbacks?.onDeclined('stopping');
     expect(third.callbacks).toBeDefined();
   });
--- a/test/evacuations/evacuation-register.test.ts
+++ b/test/evacuations/evacuation-register.test.ts
@@ -75,7 +75,7 @@
         const left = [...words, ...register.all()];
         while (left.length > 0) {
           const index = Number(draws.next().value) % left.length;
-          for (const word of left.splice(index, 1)) known.take(word);
+          for (const word of left.splice(index, 1)) known.update(word);
         }
         expect([...known.zones].sort()).toEqual(register.evacuatedZones());
       }),
