--- a/src/evacuations/evacuated-zones.ts
+++ b/src/evacuations/evacuated-zones.ts
@@ -1,17 +1,17 @@
-/** The evacuated zones as a gateway knows them, from the word of several controllers. */
+/** A gateway's view of the evacuated zones, merged from the messages of several controllers. */
 import type { ZoneEvacuation } from './zone-evacuation.js';
 
-/** See the module comment. Older word never replaces newer, whoever sends it. */
+/** A lower revision never replaces a higher one of the same zone, whichever controller sent it. */
 export class EvacuatedZones {
   private readonly latestByZone = new Map<string, ZoneEvacuation>();
   private evacuated: ReadonlySet<string> = new Set();
 
-  /** Zones to whose replicas nothing new may go. */
+  /** Zones whose replicas must not receive new requests. */
   get zones(): ReadonlySet<string> {
     return this.evacuated;
   }
 
-  /** Takes a controller's word; true when it was newer than what was known. */
+  /** Applies a controller's message; false when its revision is not newer than the known one. */
   update(evacuation: ZoneEvacuation): boolean {
     const known = this.latestByZone.get(evacuation.zone);
     if (known !== undefined && known.revision >= evacuation.revision) return false;
--- a/src/evacuations/evacuation-orders.ts
+++ b/src/evacuations/evacuation-orders.ts
@@ -1,4 +1,4 @@
-/** Gives and reads orders to evacuate zones, through the replicated log. */
+/** Submits orders to evacuate zones to the replicated log, and reads the evacuated zones. */
 import type { ReplicatedLog } from '../consensus/replicated-log.js';
 import { SectionTag, sectionCommand } from '../consensus/sectioned-state-machine.js';
 import { DriftwayError, ErrorLabel } from '../errors/driftway-error.js';
@@ -12,10 +12,10 @@
   type EvacuationRegister,
 } from './evacuation-register.js';
 
-/** Longest name of a zone; bounds what an order may add to the replicated state. */
+/** Maximum length of a zone's name, in characters; bounds the replicated state. */
 const MAXIMUM_ZONE_LENGTH = 255;
 
-/** No zone of the name can be evacuated; nothing was changed. */
+/** The zone does not exist or cannot be registered; nothing was changed. */
 export class EvacuationRefusedError extends DriftwayError {
   constructor(reason: string) {
     const labels = [ErrorLabel.NotRun, ErrorLabel.BadInput];
@@ -27,23 +27,23 @@
   return new EvacuationRefusedError(`there is no zone "${zone}"`);
 }
 
-/** What orders are given through. */
+/** Dependencies of {@link EvacuationOrders}. */
 export interface EvacuationOrdersOptions {
   readonly log: ReplicatedLog;
   readonly register: EvacuationRegister;
-  /** Zones of the deployment; empty when they are not known, and then any name is taken. */
+  /** Zones of the deployment; empty when they are not known, in which case any name is accepted. */
   readonly knownZones: ReadonlySet<string>;
   readonly logger: Logger;
 }
 
-/** See the module comment. */
+/** Operations of one controller, which may be a follower. */
 export class EvacuationOrders {
   constructor(private readonly options: EvacuationOrdersOptions) {}
 
   /**
-   * Resolves once the order is durable; the same order again changes nothing and resolves too.
+   * Resolves once the order is durable. Idempotent: repeating an order changes nothing.
    *
-   * @throws EvacuationRefusedError when there is no such zone.
+   * @throws EvacuationRefusedError when there is no such zone, or too many zones are registered.
    * @throws NotProposedError when nothing was changed.
    * @throws ProposalOutcomeUnknownError when the order may still be carried out.
    */
@@ -54,22 +54,22 @@
     const outcome = decodeEvacuationOutcome(result);
     this.options.logger.info('evacuation ordered', { ...order, ...outcome });
     if (outcome.status === EvacuationOrderStatus.Refused) {
-      throw new EvacuationRefusedError('too many zones were evacuated before');
+      throw new EvacuationRefusedError('the register of evacuated zones is full');
     }
     return outcome;
   }
 
   /**
-   * The evacuated zones, with every order that was acknowledged before the call.
+   * Returns the evacuated zones, including every order acknowledged before the call.
    *
-   * @throws NoQuorumError when this controller may lack some of them.
+   * @throws NoQuorumError when this controller cannot confirm that its state is up to date.
    */
   async readZones(): Promise<readonly string[]> {
     await this.options.log.readBarrier();
     return this.appliedZones();
   }
 
-  /** The evacuated zones as far as orders are applied here. */
+  /** Returns the evacuated zones as of the last order applied on this controller; may be stale. */
   appliedZones(): string[] {
     return this.options.register.evacuatedZones();
   }
--- a/src/evacuations/evacuation-register.ts
+++ b/src/evacuations/evacuation-register.ts
@@ -1,8 +1,8 @@
 /**
- * The replicated register of evacuated zones. A state machine section, so every
- * controller holds the same, as durable as the route document. Zones whose
- * evacuation has ended are remembered with the revision of the end, so that older
- * word of it can be told.
+ * Replicated register of evacuated zones. It is a section of the replicated state machine, so
+ * every controller holds the same entries, as durable as the route document. A zone whose
+ * evacuation has ended stays as a tombstone with the revision of the end, by which gateways
+ * recognize older messages about the zone.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
@@ -10,7 +10,7 @@
 import type { StateMachine } from '../consensus/replicated-log.js';
 import type { ZoneEvacuation } from './zone-evacuation.js';
 
-/** Zones that are remembered; a deployment has far fewer. */
+/** Maximum number of zones in the register, tombstones included; a deployment has far fewer. */
 const MAXIMUM_ZONES = 1_000;
 
 const orderType = new MessageType('EvacuationOrder', { zone: 'string', isEvacuated: 'boolean' });
@@ -26,22 +26,22 @@
   revision: 'long',
 });
 
-/** What is to hold for a zone from now on. */
+/** Desired state of a zone. */
 export type EvacuationOrder = Pick<ZoneEvacuation, 'zone' | 'isEvacuated'>;
 
-/** What an order did. */
+/** Effect of an order. */
 export enum EvacuationOrderStatus {
   Changed = 'changed',
-  /** It held already: the order was sent before. */
+  /** The zone already was in the desired state, as after a repeated order. */
   Unchanged = 'unchanged',
-  /** Too many zones are remembered; nothing was changed. */
+  /** The register is full; nothing was changed. */
   Refused = 'refused',
 }
 
-/** What became of an order. */
+/** Result of an order. */
 export interface EvacuationOutcome {
   readonly status: EvacuationOrderStatus;
-  /** Of the zone after the order. */
+  /** Revision of the zone's entry after the order; 0 when it has none. */
   readonly revision: number;
 }
 
@@ -49,20 +49,20 @@
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
 
-/** The bytes of a command that gives `order`. */
+/** Encodes the command that submits `order`. */
 export function encodeEvacuationOrder(order: EvacuationOrder): Uint8Array {
   return orderType.encode(order);
 }
 
-/** Reads what {@link EvacuationRegister.apply} returned. */
+/** Decodes the result of {@link EvacuationRegister.apply}. */
 export function decodeEvacuationOutcome(result: Uint8Array): EvacuationOutcome {
   const { status, revision } = outcomeType.decode(asBuffer(result));
   return { status: status as EvacuationOrderStatus, revision };
 }
 
-/** See the module comment. */
+/** State machine section; {@link encodeEvacuationOrder} builds its commands. */
 export class EvacuationRegister implements StateMachine {
-  /** Emits after each change. */
+  /** Emits after each change of an entry, and after a snapshot was restored. */
   readonly changes: Stream<void>;
   private readonly entries = new Map<string, ZoneEvacuation>();
   private lastRevision = 0;
@@ -72,12 +72,12 @@
     [this.emit, this.changes] = createAdapter<void>();
   }
 
-  /** Every zone that was ever evacuated. */
+  /** Entries of all zones that were ever evacuated, tombstones included. */
   all(): Iterable<ZoneEvacuation> {
     return this.entries.values();
   }
 
-  /** Names of the zones to which nothing new is to go, in order. */
+  /** Sorted names of the zones whose replicas must not receive new requests. */
   evacuatedZones(): string[] {
     return [...this.entries.values()]
       .filter(({ isEvacuated }) => isEvacuated)
--- a/src/evacuations/zone-evacuation.ts
+++ b/src/evacuations/zone-evacuation.ts
@@ -1,10 +1,10 @@
-/** Whether the replicas of a zone may get new requests. */
+/** Evacuation state of a zone: whether its replicas may receive new requests. */
 
-/** The last order about one zone. */
+/** The latest order for one zone. */
 export interface ZoneEvacuation {
   readonly zone: string;
-  /** True while nothing new is to go to replicas of the zone. */
+  /** True while the zone's replicas must not receive new requests. */
   readonly isEvacuated: boolean;
-  /** Grows with each order of any zone that changed something; of two orders the higher one is the later. */
+  /** Counter over all zones, incremented by each order that changes a zone; the higher one is the later. */
   readonly revision: number;
 }
--- a/src/routes/read-route-document.ts
+++ b/src/routes/read-route-document.ts
@@ -1,4 +1,4 @@
-/** Reads a route document from bytes and checks what its schema cannot say. */
+/** Parses a route document from bytes and validates what its schema cannot express. */
 import { DriftwayError, ErrorLabel } from '../errors/driftway-error.js';
 import {
   MAXIMUM_ROUTE_DOCUMENT_BYTES,
@@ -8,17 +8,17 @@
 } from './route-document.js';
 import { findTenantProblems } from './tenant-problems.js';
 
-/** The bytes are no valid route document; nothing of it was taken. */
+/** The bytes are not a valid route document; no part of it was applied. */
 export class InvalidRouteDocumentError extends DriftwayError {
   constructor(
-    /** Every problem, such as `routes.0.timeoutMs: Too small`. */
+    /** One message for each problem, such as `routes.0.timeoutMs: Too small`. */
     readonly problems: readonly string[],
   ) {
     super(problems.join('; '), { step: 'read route document', labels: [ErrorLabel.BadInput] });
   }
 }
 
-/** The services that a route may send requests to. */
+/** Names of the services to which the route may send requests. */
 export function servicesOf(route: Route): readonly string[] {
   if (route.shards !== undefined) return route.shards;
   if (route.split !== undefined) return route.split.map(({ service }) => service);
@@ -27,19 +27,20 @@
 
 function findTargetProblems(route: Route, place: string): string[] {
   const targets = [route.service, route.split, route.shards].filter((one) => one !== undefined);
-  if (targets.length !== 1) return [`${place}: name one of service, split and shards`];
+  if (targets.length !== 1) return [`${place}: expected exactly one of service, split and shards`];
   if (route.shards !== undefined && new Set(route.shards).size < route.shards.length) {
-    return [`${place}.shards: a shard is named twice`];
+    return [`${place}.shards: expected unique names, found a shard twice`];
   }
   if (route.split === undefined) return [];
   const total = route.split.reduce((sum, { weight }) => sum + weight, 0);
-  return total > 0 ? [] : [`${place}.split: the weights sum to 0`];
+  return total > 0 ? [] : [`${place}.split: expected weights with a sum above 0`];
 }
 
 function findDocumentProblems(document: RouteDocument): string[] {
   const problems: string[] = [];
   const services = new Set(document.services.map(({ name }) => name));
-  if (services.size < document.services.length) problems.push('services: a name is used twice');
+  if (services.size < document.services.length)
+    problems.push('services: expected unique names, found a name twice');
   const hostsAndPrefixes = new Set<string>();
   for (const [index, route] of document.routes.entries()) {
     const place = `routes.${index}`;
@@ -49,22 +50,22 @@
     }
     const key = `${route.host.toLowerCase()} ${route.pathPrefix}`;
     if (hostsAndPrefixes.has(key))
-      problems.push(`${place}: another route has this host and prefix`);
+      problems.push(`${place}: another route has the same host and path prefix`);
     hostsAndPrefixes.add(key);
   }
   problems.push(...findTenantProblems(document.tenants ?? []));
   return problems;
 }
 
-/** Without the text around it, which the error quotes: it may hold an API key. */
+/** Position of a JSON syntax error. The error's own message quotes text that may contain an API key. */
 function locateJsonError({ message }: Error): string {
   return /at position \d+/.exec(message)?.[0] ?? 'somewhere';
 }
 
 function parseJson(bytes: Uint8Array): unknown {
   if (bytes.length > MAXIMUM_ROUTE_DOCUMENT_BYTES) {
-    const limit = `at most ${MAXIMUM_ROUTE_DOCUMENT_BYTES}`;
-    throw new InvalidRouteDocumentError([`${bytes.length} bytes; ${limit}`]);
+    const limit = `expected at most ${MAXIMUM_ROUTE_DOCUMENT_BYTES}`;
+    throw new InvalidRouteDocumentError([`the document has ${bytes.length} bytes, ${limit}`]);
   }
   try {
     return JSON.parse(new TextDecoder('utf-8', { fatal: true }).decode(bytes)) as unknown;
@@ -73,7 +74,7 @@
   }
 }
 
-/** @throws InvalidRouteDocumentError naming every problem. */
+/** @throws InvalidRouteDocumentError with every problem that was found. */
 export function readRouteDocument(bytes: Uint8Array): RouteDocument {
   const parsed = routeDocumentSchema.safeParse(parseJson(bytes));
   if (!parsed.success) {
--- a/src/routes/route-document-register.ts
+++ b/src/routes/route-document-register.ts
@@ -1,7 +1,7 @@
 /**
- * The replicated register that holds the route document: the highest version
- * wins, and of two documents of the same version the one that was committed
- * first. A state machine section, so every controller holds the same bytes.
+ * Replicated register of the route document. The highest version is in force; of two
+ * documents with the same version, the one committed first is. The register is a section of
+ * the replicated state machine, so every controller holds the same bytes.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
@@ -10,32 +10,32 @@
 
 const storedDocumentType = new MessageType('StoredRouteDocument', {
   version: 'long',
-  /** As the operator sent it. */
+  /** The document's bytes, exactly as the operator sent them. */
   content: 'bytes',
 });
 
 const outcomeType = new MessageType('RouteDocumentOutcome', {
-  /** Whether the command put its document in force. */
+  /** Whether the command's document came into force. */
   replaced: 'boolean',
-  /** In force after the command. */
+  /** Version in force after the command. */
   version: 'long',
 });
 
-/** A route document as it was accepted. */
+/** A route document that the register accepted. */
 export interface StoredRouteDocument {
   readonly version: number;
-  /** As the operator sent it. */
+  /** The document's bytes, exactly as the operator sent them. */
   readonly content: Uint8Array;
 }
 
-/** What became of a proposed document. */
+/** Result of proposing a document. */
 export interface RouteDocumentOutcome {
   readonly replaced: boolean;
-  /** The version in force after it. */
+  /** Version in force after the proposal. */
   readonly version: number;
 }
 
-/** The bytes of a command that proposes `document`. */
+/** Encodes the command that proposes `document`. */
 export function encodeRouteDocument(document: StoredRouteDocument): Uint8Array {
   return storedDocumentType.encode(document);
 }
@@ -44,14 +44,14 @@
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
 
-/** Reads what {@link RouteDocumentRegister.apply} returned. */
+/** Decodes the result of {@link RouteDocumentRegister.apply}. */
 export function decodeRouteDocumentOutcome(result: Uint8Array): RouteDocumentOutcome {
   return outcomeType.decode(asBuffer(result));
 }
 
-/** See the module comment. */
+/** State machine section; {@link encodeRouteDocument} builds its commands. */
 export class RouteDocumentRegister implements StateMachine {
-  /** Emits each document as it comes into force. */
+  /** Emits each document as it comes into force, also one restored from a snapshot. */
   readonly changes: Stream<StoredRouteDocument>;
   private document: StoredRouteDocument | undefined;
   private readonly emit: (document: StoredRouteDocument) => void;
@@ -60,7 +60,7 @@
     [this.emit, this.changes] = createAdapter<StoredRouteDocument>();
   }
 
-  /** The document in force; undefined before the first. */
+  /** The document in force; undefined before the first one. */
   current(): StoredRouteDocument | undefined {
     return this.document;
   }
@@ -85,7 +85,7 @@
     this.replace(storedDocumentType.decode(asBuffer(snapshot)));
   }
 
-  /** Copies the content: decoded bytes would keep the whole message they came in. */
+  /** Copies the content: the decoded bytes are a view that would retain the whole message buffer. */
   private replace({ version, content }: StoredRouteDocument): void {
     this.document = { version, content: Uint8Array.from(content) };
     this.emit(this.document);
--- a/src/routes/route-document.ts
+++ b/src/routes/route-document.ts
@@ -1,21 +1,21 @@
 /**
- * The route document: which requests go to which services. It is one whole with
- * one version; a change replaces all of it.
+ * Schema of the route document, which maps requests to services. The document has a single
+ * version, and a change replaces the whole document.
  */
 import * as z from 'zod';
 import { MAXIMUM_KEY_CHARACTERS } from '../tenants/tenant-directory.js';
 
-/** Longest route document that is accepted: holds 10,000 tenants with 30,000 keys. Bytes. */
+/** Largest route document that is accepted; room for 10,000 tenants with 30,000 keys. */
 export const MAXIMUM_ROUTE_DOCUMENT_BYTES = 3_000_000;
 
 const nameSchema = z.string().min(1).max(255);
 const durationSchema = z.number().positive().max(86_400_000);
 
-/** Whether a request may be run more than once. */
+/** Whether a request may be executed more than once. */
 export const executionSchema = z.enum(['repeatable', 'atMostOnce']);
 export type Execution = z.infer<typeof executionSchema>;
 
-/** A service's share of a route's requests. */
+/** A service and its share of a route's requests, as a weight relative to the other services. */
 const splitPartSchema = z.object({
   service: nameSchema,
   weight: z.number().min(0),
@@ -25,41 +25,43 @@
 const routeSchema = z.object({
   name: z.string().max(255).default(''),
   host: nameSchema,
-  /** Begins and ends with a slash. */
-  pathPrefix: z.string().regex(/^\/(?:.*\/)?$/, 'begin and end it with a slash, such as /ledger/'),
+  /** Path prefix of the requests; begins and ends with a slash. */
+  pathPrefix: z
+    .string()
+    .regex(/^\/(?:.*\/)?$/, 'expected to begin and end with a slash, such as /ledger/'),
   execution: executionSchema.default('atMostOnce'),
-  /** Longest time that a request may be held. Milliseconds. */
+  /** Longest deadline of a request. Milliseconds. */
   timeoutMs: durationSchema,
-  /** Time within which an answer is of full use. Milliseconds. */
+  /** Latency within which an answer has its full value. Milliseconds. */
   targetLatencyMs: durationSchema.optional(),
-  /** Rank under overload; 0 is the highest. */
+  /** Priority under overload; 0 is the highest. */
   priority: z.int().min(0).default(0),
-  /** Most replicas to which one request may be sent (for each shard, when there are shards). */
+  /** Maximum number of replicas to which one request may be sent; applies per shard on fan-out routes. */
   maximumAttempts: z.int().min(1).default(1),
-  /** Whether requests need no API key where the document names tenants. */
+  /** Whether requests are exempt from API keys when the document lists tenants. */
   public: z.boolean().default(false),
-  /** Regions whose replicas may get requests of the route; absent: all. */
+  /** Regions whose replicas may receive requests of the route; absent: all regions. */
   allowedRegions: z.array(nameSchema).min(1).optional(),
-  /** Exactly one of these three says where requests go. */
+  /** Exactly one of `service`, `split` and `shards` is set: the target of the requests. */
   service: nameSchema.optional(),
   split: z.array(splitPartSchema).min(1).optional(),
   shards: z.array(nameSchema).min(1).optional(),
-  /** With `shards`: how many of the greatest records an answer holds. */
+  /** With `shards`: how many of the greatest records a merged answer contains. */
   topRecords: z.int().min(0).optional(),
-  /** With `shards`: least fraction of the shards that an answer must reach. */
+  /** With `shards`: minimum fraction of the shards that a merged answer must cover. */
   requiredCoverage: z.number().min(0).max(1).optional(),
 });
 export type Route = z.infer<typeof routeSchema>;
 
 const serviceSchema = z.object({
   name: nameSchema,
-  /** Path of the replicas' health check. */
+  /** Path of the replicas' health check endpoint. */
   healthPath: z.string().default('/health'),
-  /** Connections that one replica accepts from all gateways together. */
+  /** Maximum number of connections that one replica accepts from all gateways together. */
   maximumConnections: z.int().min(1).default(64),
   /**
-   * Requests a second that a cold replica bears from all gateways together; 0 when that
-   * is not bounded.
+   * Maximum number of requests per second that a cold replica can serve for all gateways
+   * together; 0: not limited.
    */
   coldRequestsPerSecond: z.number().min(0).default(0),
 });
@@ -67,17 +69,17 @@
 
 const tenantSchema = z.object({
   name: nameSchema,
-  /** Each of them names the tenant; none once all were taken away. */
+  /** API keys, each of which identifies the tenant; empty once all keys have been revoked. */
   keys: z.array(z.string().min(1).max(MAXIMUM_KEY_CHARACTERS)),
-  /** Rank of its requests, which goes before the route's; 0 is the highest. */
+  /** Priority of the tenant's requests, which overrides the route's; 0 is the highest. */
   priority: z.int().min(0).optional(),
-  /** Requests a second that all gateways together may pass on; 0: no limit. */
+  /** Quota: requests per second that all gateways together may forward; 0: no limit. */
   requestsPerSecond: z.number().min(0).default(0),
-  /** Requests beyond that which may come at once. */
+  /** Requests beyond the quota that may arrive at once. */
   burst: z.number().min(0).default(0),
 });
 
-/** What a caller may send, and how long it may take or rest. Bytes and milliseconds. */
+/** Limits on callers: size of a request (bytes), time to send its headers and to idle (milliseconds). */
 const limitsSchema = z.object({
   maximumHeaderBytes: z.int().min(1).default(16_384),
   maximumBodyBytes: z.int().min(0).default(1_048_576),
@@ -86,13 +88,13 @@
 });
 export type CallerLimits = z.infer<typeof limitsSchema>;
 
-/** Unknown fields are kept out of the parsed form, and in the bytes that are read back. */
+/** Unknown fields are dropped from the parsed document, but kept in the stored bytes. */
 export const routeDocumentSchema = z.object({
-  /** The highest version is in force. */
+  /** The document with the highest version is in force. */
   version: z.int().min(0),
   routes: z.array(routeSchema),
   services: z.array(serviceSchema),
-  /** With these, requests carry an API key unless their route is public; absent: none do. */
+  /** When present, requests need an API key unless their route is public; absent: none do. */
   tenants: z.array(tenantSchema).optional(),
   limits: limitsSchema.prefault({}),
 });
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -1,11 +1,14 @@
-/** One version of the routes, ready for look-ups. Immutable: a request keeps the table it began with. */
+/**
+ * Lookup tables built from one version of the route document. Immutable: a request uses the same
+ * table from start to end.
+ */
 import { TenantDirectory } from '../tenants/tenant-directory.js';
 import type { CallerLimits, Route, RouteDocument, RoutedService } from './route-document.js';
 
-/** The routes of one host, those with the longest prefix first. */
+/** Routes of one host, sorted by path prefix, the longest first. */
 type RoutesOfHost = readonly Route[];
 
-/** The shards of one or more routes. */
+/** The ordered shards of one route, or of several routes with the same shards. */
 export class ShardList {
   private readonly names: ReadonlySet<string>;
 
@@ -18,14 +21,14 @@
   }
 }
 
-/** The lists of shards by their names; see {@link RouteTable.shardLists}. */
+/** Shard lists by {@link shardListKey}. */
 type ShardListsByKey = ReadonlyMap<string, ShardList>;
 
 function shardListKey(shards: readonly string[]): string {
   return shards.join('\n');
 }
 
-/** Each list once, also where several routes name it; the one of `before` where it is the same. */
+/** Returns each distinct shard list once, reusing the equal list of `previous` where there is one. */
 function deduplicateShardLists(
   routes: readonly Route[],
   previous: ShardListsByKey,
@@ -39,7 +42,7 @@
   return lists;
 }
 
-/** The route with the array of its list of shards, so that what is kept by that array is found. */
+/** Gives the route the array of its shared list, so that caches keyed by that array are hit. */
 function withSharedShardList(route: Route, lists: ShardListsByKey): Route {
   if (route.shards === undefined) return route;
   const list = lists.get(shardListKey(route.shards));
@@ -57,23 +60,23 @@
   return groups;
 }
 
-/** The host without a port, in lower case. */
+/** Returns the host of a Host header without its port, in lower case. */
 export function normalizeHost(hostHeader: string): string {
   return hostHeader.replace(/:\d+$/, '').toLowerCase();
 }
 
-/** See the module comment. */
+/** Finds routes, services, shard lists and tenants. */
 export class RouteTable {
   readonly version: number;
   readonly limits: CallerLimits;
   /**
-   * The different lists of shards that routes name. A list that the table before had is the
-   * same object, with the same array, here and in its routes.
+   * The distinct shard lists of all routes. A list that the previous table had too is the same
+   * object with the same array, here and in the routes.
    */
   readonly shardLists: readonly ShardList[];
-  /** Undefined where requests need no API key. */
+  /** Undefined when the document lists no tenants, so that requests need no API key. */
   readonly tenants: TenantDirectory | undefined;
-  /** Whether requests of some route need an API key. */
+  /** Whether requests of at least one route need an API key. */
   readonly needsKeys: boolean;
   private readonly shardListsByKey: ShardListsByKey;
   private readonly byHost: ReadonlyMap<string, RoutesOfHost>;
@@ -100,13 +103,13 @@
     this.services = new Map(document.services.map((service) => [service.name, service]));
   }
 
-  /** The route of the host with the longest prefix that begins the path. */
+  /** Returns the route of the host with the longest prefix of `path`. */
   match(hostHeader: string, path: string): Route | undefined {
     const routes = this.byHost.get(normalizeHost(hostHeader));
     return routes?.find(({ pathPrefix }) => path.startsWith(pathPrefix));
   }
 
-  /** Whether a route asks the service as one shard of several; true for a service of no route yet. */
+  /** Whether a route lists the service as a shard; also true for services that the document lacks. */
   isShard(name: string): boolean {
     return this.shards.has(name) || !this.services.has(name);
   }
--- a/src/routes/tenant-problems.ts
+++ b/src/routes/tenant-problems.ts
@@ -1,7 +1,10 @@
-/** What is wrong with the tenants of a route document that its schema cannot say; names no key. */
+/**
+ * Validates what the schema of a route document cannot express about tenants: unique names and
+ * unique API keys. The messages contain no API key.
+ */
 import type { TenantEntry } from '../tenants/tenant-directory.js';
 
-/** Places such as `tenants.3.keys.0`, by the key that is listed there. */
+/** Paths within the document, such as `tenants.3.keys.0`, by the API key at that path. */
 type PathsByKey = Map<string, string>;
 
 function findDuplicateNames(tenants: readonly TenantEntry[]): string[] {
@@ -11,24 +14,24 @@
     const place = `tenants.${index}`;
     const other = pathsByName.get(name);
     if (other === undefined) pathsByName.set(name, place);
-    else problems.push(`${place}.name: ${other} has this name too`);
+    else problems.push(`${place}.name: ${other} already has this name`);
   }
   return problems;
 }
 
-/** Keys of other tenants; one that a tenant lists twice names the same tenant. */
+/** Finds keys that an earlier tenant has. A tenant may list one of its own keys twice. */
 function findSharedKeys(keys: readonly string[], tenant: string, pathsByKey: PathsByKey): string[] {
   const problems: string[] = [];
   for (const key of new Set(keys)) {
     const place = `${tenant}.keys.${keys.indexOf(key)}`;
     const other = pathsByKey.get(key);
     if (other === undefined) pathsByKey.set(key, place);
-    else problems.push(`${place}: the same key as ${other}`);
+    else problems.push(`${place}: expected a unique key, found the same key at ${other}`);
   }
   return problems;
 }
 
-/** See the module comment. */
+/** Returns one message for each problem, starting with its path; empty when there is none. */
 export function findTenantProblems(tenants: readonly TenantEntry[]): string[] {
   const pathsByKey: PathsByKey = new Map();
   return [
--- a/src/routes/version-history.ts
+++ b/src/routes/version-history.ts
@@ -1,27 +1,27 @@
 /**
- * When each version of the route document became known to this process, so that it can be told
- * since when somebody who has an older one lacks a newer one. That time is the oldest missing
- * version's: versions that follow do not put it off.
+ * Records when each version of the route document became known to this process, to tell for how
+ * long a peer with an older version has been out of date. That time starts with the oldest version
+ * that the peer lacks; later versions do not reset it.
  */
 
-/** Versions that follow within this time share an entry, with the time of the first. Milliseconds. */
+/** Versions that become known within this time share an entry, which has the time of the first one. */
 const ENTRY_SPAN_MS = 50;
-/** Entries that are kept: half a minute of changes without a pause. */
+/** Entries that are kept: covers half a minute of continuous changes. */
 const MAXIMUM_ENTRIES = 600;
 
-/** Some versions in a row. */
+/** One or more consecutive versions. */
 interface HistoryEntry {
-  /** The newest of them. */
+  /** The newest version of the entry. */
   version: number;
-  /** When the first of them became known. Clock reading. */
+  /** When the first version of the entry became known. Clock reading. */
   firstKnownAt: number;
 }
 
-/** See the module comment. */
+/** Bounded history; times are readings of the clock of this process. */
 export class VersionHistory {
   private readonly entries: HistoryEntry[] = [];
 
-  /** A version has become known; one that is not newer than all before it is passed over. */
+  /** Records that a version became known. Ignores versions not newer than all recorded ones. */
   record(version: number, now: number): void {
     const last = this.entries.at(-1);
     if (last !== undefined && version <= last.version) return;
@@ -34,8 +34,9 @@
   }
 
   /**
-   * When the first version that is newer than `version` became known; undefined when there is
-   * none. May be earlier by {@link ENTRY_SPAN_MS}, and by more for versions of long ago.
+   * Returns when the first version newer than `version` became known; undefined when there is
+   * none. The result may be up to {@link ENTRY_SPAN_MS} early, and earlier still for old versions,
+   * whose entries are merged.
    */
   supersededAt(version: number): number | undefined {
     return this.entries.find((entry) => entry.version > version)?.firstKnownAt;
--- a/test/evacuations/evacuation-register.test.ts
+++ b/test/evacuations/evacuation-register.test.ts
@@ -20,7 +20,7 @@
 );
 
 describe('EvacuationRegister', () => {
-  it('takes the same order again without a change', () => {
+  it('leaves the revision unchanged when an order is repeated', () => {
     const register = new EvacuationRegister();
     const start = { zone: 'a', isEvacuated: true };
     expect(give(register, start)).toEqual({ status: EvacuationOrderStatus.Changed, revision: 1 });
@@ -28,13 +28,13 @@
     expect(register.evacuatedZones()).toEqual(['a']);
   });
 
-  it('takes an end without a start', () => {
+  it('accepts the end of an evacuation that was never started, without a change', () => {
     const register = new EvacuationRegister();
     const { status } = give(register, { zone: 'a', isEvacuated: false });
     expect(status).toBe(EvacuationOrderStatus.Unchanged);
   });
 
-  it('holds the last order of each zone, also when it is restored from a snapshot', () => {
+  it('keeps the last order of each zone, also after it was restored from a snapshot', () => {
     fc.assert(
       fc.property(ORDERS, ORDERS, (before, after) => {
         const register = new EvacuationRegister();
@@ -51,7 +51,7 @@
     );
   });
 
-  it('remembers a bounded number of zones', () => {
+  it('refuses a new zone when it is full, and still accepts orders for its zones', () => {
     const register = new EvacuationRegister();
     for (let index = 0; index < 1_000; index += 1) {
       give(register, { zone: `zone-${index}`, isEvacuated: true });
@@ -63,7 +63,7 @@
 });
 
 describe('EvacuatedZones', () => {
-  it('comes to the same whatever the order in which word of controllers comes', () => {
+  it('reaches the same state whatever the order in which messages of controllers arrive', () => {
     fc.assert(
       fc.property(ORDERS, fc.infiniteStream(fc.nat()), (orders, draws) => {
         const register = new EvacuationRegister();
--- a/test/routes/route-document.test.ts
+++ b/test/routes/route-document.test.ts
@@ -34,15 +34,21 @@
 }
 
 describe('readRouteDocument', () => {
-  it('takes a valid document and ignores fields it does not know', () => {
+  it('accepts a valid document and ignores unknown fields', () => {
     expect(problemsOf({ ...VALID, colour: 'red' })).toEqual([]);
   });
 
   const wrong: readonly [string, unknown][] = [
     ['an unknown service', { ...VALID, routes: [{ ...ROUTE, service: 'three' }] }],
-    ['two routes at one place', { ...VALID, routes: [ROUTE, { ...ROUTE, service: 'two' }] }],
+    [
+      'two routes with the same host and path prefix',
+      { ...VALID, routes: [ROUTE, { ...ROUTE, service: 'two' }] },
+    ],
     ['a timeout of 0', { ...VALID, routes: [{ ...ROUTE, timeoutMs: 0 }] }],
-    ['a prefix without its slash', { ...VALID, routes: [{ ...ROUTE, pathPrefix: '/x' }] }],
+    [
+      'a path prefix without its final slash',
+      { ...VALID, routes: [{ ...ROUTE, pathPrefix: '/x' }] },
+    ],
     ['no target', { ...VALID, routes: [{ ...ROUTE, service: undefined }] }],
     ['two targets', { ...VALID, routes: [{ ...ROUTE, shards: ['two'] }] }],
     [
@@ -53,18 +59,18 @@
       },
     ],
     [
-      'a shard named twice',
+      'a shard listed twice',
       { ...VALID, routes: [{ ...ROUTE, service: undefined, shards: ['one', 'one'] }] },
     ],
-    ['a service named twice', { ...VALID, services: [{ name: 'one' }, { name: 'one' }] }],
+    ['two services of the same name', { ...VALID, services: [{ name: 'one' }, { name: 'one' }] }],
     ['no version', { ...VALID, version: undefined }],
-    ['a version that is no whole number', { ...VALID, version: 1.5 }],
+    ['a version that is not an integer', { ...VALID, version: 1.5 }],
   ];
   for (const [name, document] of wrong) {
-    it(`refuses ${name}`, () => expect(problemsOf(document)).not.toEqual([]));
+    it(`rejects a document with ${name}`, () => expect(problemsOf(document)).not.toEqual([]));
   }
 
-  it('refuses bytes that were cut short', () => {
+  it('rejects truncated bytes', () => {
     const bytes = bytesOf(VALID);
     expect(() => readRouteDocument(bytes.subarray(0, bytes.length - 1))).toThrow(
       InvalidRouteDocumentError,
@@ -73,7 +79,7 @@
 });
 
 describe('RouteTable', () => {
-  it('matches hosts whatever their case and port', () => {
+  it('ignores the case and the port when it matches a host', () => {
     const table = new RouteTable(readRouteDocument(bytesOf(VALID)));
     expect(table.match('A.Example:8080', '/x/1')?.service).toBe('one');
     expect(table.match('b.example', '/x/1')).toBeUndefined();
@@ -87,7 +93,7 @@
     return decodeRouteDocumentOutcome(register.apply(command)).replaced;
   }
 
-  it('holds the highest version, and of equal ones the first', () => {
+  it('keeps the highest version, and the first of equal versions', () => {
     const register = new RouteDocumentRegister();
     expect(put(register, 3, 'first')).toBe(true);
     expect(put(register, 3, 'second')).toBe(false);
@@ -96,7 +102,7 @@
     expect(put(register, 4, 'newer')).toBe(true);
   });
 
-  it('comes back from a snapshot beside the main section, and from one of before', () => {
+  it('is restored from a snapshot with sections; one without sections goes to the main machine', () => {
     const main: StateMachine = {
       apply: (command) => command,
       snapshot: () => Buffer.from('{"main":1}'),
--- a/test/routes/route-table.test.ts
+++ b/test/routes/route-table.test.ts
@@ -16,8 +16,8 @@
   });
 }
 
-describe('the lists of shards of a route table', () => {
-  it('are one where several routes name the same, and stay over versions', () => {
+describe('RouteTable.shardLists', () => {
+  it('contains equal lists of several routes once, and reuses lists of the previous table', () => {
     const first = new RouteTable(documentOf(1, ['a', 'b'], ['a', 'b'], ['b']));
     expect(first.shardLists.map(({ shards }) => shards)).toEqual([['a', 'b'], ['b']]);
     const second = new RouteTable(documentOf(2, ['b'], ['a', 'b'], ['c']), first);
@@ -28,7 +28,7 @@
     expect(second.match('desk.example', '/2/x')?.shards).toEqual(['c']);
   });
 
-  it('differ where their order does', () => {
+  it('distinguishes lists that differ in order only', () => {
     const table = new RouteTable(documentOf(1, ['a', 'b'], ['b', 'a']));
     expect(table.shardLists).toHaveLength(2);
   });
--- a/test/routes/tenants.test.ts
+++ b/test/routes/tenants.test.ts
@@ -37,38 +37,38 @@
   }));
 }
 
-describe('a route document whose tenants are wrong', () => {
+describe('readRouteDocument with invalid tenants', () => {
   const one = { name: 'one', keys: [SECRET] };
   const wrong: readonly [string, unknown, string][] = [
     ['a key of two tenants', [one, { name: 'two', keys: ['x', SECRET] }], 'tenants.1.keys.1'],
-    ['a name that two have', [one, { name: 'one', keys: ['x'] }], 'tenants.1.name'],
+    ['a name of two tenants', [one, { name: 'one', keys: ['x'] }], 'tenants.1.name'],
     ['no name', [{ keys: [SECRET] }], 'tenants.0.name'],
     ['an empty name', [{ name: '', keys: [SECRET] }], 'tenants.0.name'],
     ['no keys', [{ name: 'one' }], 'tenants.0.keys'],
     ['an empty key', [{ name: 'one', keys: [SECRET, ''] }], 'tenants.0.keys.1'],
-    ['too long a key', [{ name: 'one', keys: [SECRET.repeat(20)] }], 'tenants.0.keys.0'],
-    ['a key that is no text', [{ name: 'one', keys: [[SECRET]] }], 'tenants.0.keys.0'],
-    ['keys that are no list', [{ name: 'one', keys: SECRET }], 'tenants.0.keys'],
-    ['a limit that is no number', [{ ...one, requestsPerSecond: SECRET }], 'requestsPerSecond'],
+    ['a key that is too long', [{ name: 'one', keys: [SECRET.repeat(20)] }], 'tenants.0.keys.0'],
+    ['a key that is not a string', [{ name: 'one', keys: [[SECRET]] }], 'tenants.0.keys.0'],
+    ['keys that are not an array', [{ name: 'one', keys: SECRET }], 'tenants.0.keys'],
+    ['a limit that is not a number', [{ ...one, requestsPerSecond: SECRET }], 'requestsPerSecond'],
     ['a limit below 0', [{ ...one, requestsPerSecond: -1 }], 'tenants.0.requestsPerSecond'],
-    ['a burst that is no number', [{ ...one, burst: '5' }], 'tenants.0.burst'],
-    ['a rank that is no whole number', [{ ...one, priority: 0.5 }], 'tenants.0.priority'],
-    ['tenants that are no list', { [SECRET]: one }, 'tenants'],
+    ['a burst that is not a number', [{ ...one, burst: '5' }], 'tenants.0.burst'],
+    ['a priority that is not an integer', [{ ...one, priority: 0.5 }], 'tenants.0.priority'],
+    ['tenants that are not an array', { [SECRET]: one }, 'tenants'],
   ];
   for (const [name, tenants, place] of wrong) {
-    it(`is refused for ${name}, with the place and without a key`, () => {
+    it(`rejects ${name}, and reports the path but no key`, () => {
       const text = problemsOf(JSON.stringify(documentOf(tenants))).join('; ');
       expect(text).toContain(place);
       expect(text).not.toContain(SECRET);
     });
   }
 
-  it('is refused for a limit beyond all numbers', () => {
+  it('rejects a limit that overflows a number', () => {
     const text = JSON.stringify(documentOf([{ ...one, burst: 7 }])).replace('7', '1e999');
     expect(problemsOf(text).join('; ')).toContain('tenants.0.burst');
   });
 
-  it('names no key when it is no JSON, wherever it breaks off', () => {
+  it('reports no key when the document is not JSON, wherever it is truncated', () => {
     const text = JSON.stringify(documentOf([one]));
     for (let length = 1; length < text.length; length += 1) {
       for (const broken of [text.slice(0, length), `${text.slice(0, length)}?${SECRET}`]) {
@@ -80,8 +80,8 @@
   });
 });
 
-describe('the tenants of a route table', () => {
-  it('are found by each of their keys, and by nothing else', () => {
+describe('RouteTable.tenants', () => {
+  it('finds a tenant by each of its keys and by no other text', () => {
     const { tenants } = new RouteTable(read([{ name: 'one', keys: [SECRET, 'other'] }]));
     expect(tenants?.holderOf(SECRET)?.name).toBe('one');
     expect(tenants?.holderOf('other')?.name).toBe('one');
@@ -90,7 +90,7 @@
     }
   });
 
-  it('may have lost all their keys, and may list one twice', () => {
+  it('accepts tenants without keys, and tenants that list a key twice', () => {
     const { tenants } = new RouteTable(
       read([
         { name: 'locked out', keys: [] },
@@ -102,13 +102,13 @@
     expect(tenants?.holderOf(SECRET)?.name).toBe('one');
   });
 
-  it('keep no key', () => {
+  it('does not retain keys', () => {
     const { tenants } = new RouteTable(read([{ name: 'one', keys: [SECRET] }]));
     const kept = [...(tenants?.tenants ?? [])];
     expect(kept).toEqual([{ name: 'one', requestsPerSecond: 0, burst: 0 }]);
   });
 
-  it('fit in as many as the documented size, each with its keys', () => {
+  it('finds every key at the documented maximum size of 10,000 tenants with 30,000 keys', () => {
     const { tenants } = new RouteTable(read(manyTenants()));
     const missed = manyTenants().flatMap(({ name, keys }) =>
       keys.filter((key) => tenants?.holderOf(key)?.name !== name),
@@ -116,7 +116,7 @@
     expect(missed).toEqual([]);
   });
 
-  it('are those of the table before while no tenant changed', () => {
+  it('reuses the directory of the previous table while no tenant has changed', () => {
     const first = new RouteTable(read([{ name: 'one', keys: [SECRET] }]));
     const same = new RouteTable(read([{ name: 'one', keys: [SECRET] }]), first);
     const others = [
--- a/test/routes/version-history.test.ts
+++ b/test/routes/version-history.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import { VersionHistory } from '../../src/routes/version-history.js';
 
-it('tells since when a version has been lacked, also while newer ones follow', () => {
+it('returns when the first newer version became known, also while further versions follow', () => {
   const history = new VersionHistory();
   history.record(1, 0);
   expect(history.supersededAt(1)).toBeUndefined();
@@ -11,7 +11,7 @@
   expect(history.supersededAt(20)).toBeUndefined();
 });
 
-it('passes older versions over', () => {
+it('ignores versions that are not newer', () => {
   const history = new VersionHistory();
   history.record(5, 100);
   history.record(3, 200);
@@ -20,7 +20,7 @@
   expect(history.supersededAt(5)).toBeUndefined();
 });
 
-it('counts from too early rather than from too late where versions are kept together', () => {
+it('returns a time that is never too late where versions share an entry', () => {
   const history = new VersionHistory();
   for (let version = 1; version <= 5_000; version += 1) history.record(version, version * 20);
   for (let version = 0; version < 5_000; version += 1) {
