--- a/test/evacuations/evacuation-register.test.ts
+++ b/test/evacuations/evacuation-register.test.ts
@@ -67,15 +67,15 @@
     fc.assert(
       fc.property(ORDERS, fc.infiniteStream(fc.nat()), (orders, draws) => {
         const register = new EvacuationRegister();
-        const words = orders.flatMap((order) => {
+        const messages = orders.flatMap((order) => {
           give(register, order);
           return [...register.all()];
         });
         const known = new EvacuatedZones();
-        const left = [...words, ...register.all()];
-        while (left.length > 0) {
-          const index = Number(draws.next().value) % left.length;
-          for (const word of left.splice(index, 1)) known.update(word);
+        const remaining = [...messages, ...register.all()];
+        while (remaining.length > 0) {
+          const index = Number(draws.next().value) % remaining.length;
+          for (const message of remaining.splice(index, 1)) known.update(message);
         }
         expect([...known.zones].sort()).toEqual(register.evacuatedZones());
       }),
--- a/test/routes/route-table.test.ts
+++ b/test/routes/route-table.test.ts
@@ -16,7 +16,7 @@
   });
 }
 
-describe('RouteTable.shardLists', () => {
+describe('shard lists of a RouteTable', () => {
   it('contains equal lists of several routes once, and reuses lists of the previous table', () => {
     const first = new RouteTable(documentOf(1, ['a', 'b'], ['a', 'b'], ['b']));
     expect(first.shardLists.map(({ shards }) => shards)).toEqual([['a', 'b'], ['b']]);
--- a/test/routes/tenants.test.ts
+++ b/test/routes/tenants.test.ts
@@ -80,7 +80,7 @@
   });
 });
 
-describe('RouteTable.tenants', () => {
+describe('tenants of a RouteTable', () => {
   it('finds a tenant by each of its keys and by no other text', () => {
     const { tenants } = new RouteTable(read([{ name: 'one', keys: [SECRET, 'other'] }]));
     expect(tenants?.holderOf(SECRET)?.name).toBe('one');
