--- a/src/aggregation/aggregation-messages.ts
+++ b/src/aggregation/aggregation-messages.ts
@@ -1,110 +1,122 @@
 /**
- * Messages between a root gateway, which a caller reached, and a leaf gateway,
- * which asks some of the shards for it. One connection carries many gathers at
- * once, told apart by a number that the root gives.
+ * Messages between a root gateway, which received a caller's request, and a leaf gateway, which
+ * queries some of the shards on its behalf. A connection multiplexes many gathers, identified by
+ * a number that the root assigns.
  */
 import { MessageCodec, type MessageField } from '../protocol/message-codec.js';
 
-/** First in a frame with a gather: the caller's request, the same for all leaves. */
+/**
+ * The caller's request, the same for all leaves. Precedes the gather or relay message in one frame.
+ */
 export interface RequestMessage {
   readonly kind: 'request';
   readonly requestId: string;
   readonly method: string;
   /** Path and query string. */
   readonly target: string;
-  /** The caller's end-to-end headers, a JSON object. */
+  /** The caller's end-to-end headers, as a JSON object. */
   readonly headers: string;
   readonly body: Uint8Array;
-  /** Shards that the whole request asks, at all leaves together. */
+  /** Number of shards of the whole request, over all leaves. */
   readonly totalShards: number;
   readonly routeName: string;
   readonly routeHost: string;
   readonly routePathPrefix: string;
-  /** Of the route document that the root works by. */
+  /** Version of the root's route document. */
   readonly routeVersion: number;
-  /** Greatest records that an answer holds. */
+  /** Maximum number of records in an answer; the greatest ones are kept. */
   readonly topRecords: number;
   readonly targetLatencyMs: number;
   readonly priority: number;
 }
 
-/** Root to leaf: ask these shards. */
+/** Root to leaf: query these shards. */
 export interface GatherMessage {
   readonly kind: 'gather';
-  /** Unique on its connection. */
+  /** Unique on the connection. */
   readonly gatherId: number;
-  /** Names of the services to ask, a JSON array. */
+  /** Names of the shards' services, as a JSON array. */
   readonly shards: string;
-  /** Replicas of each shard that this leaf may ask. */
+  /** Maximum number of attempts, to different replicas, per shard at this leaf. */
   readonly maximumAttempts: number;
-  /** Since the root received the request. Milliseconds. */
+  /** Time since the root received the request. Milliseconds. */
   readonly elapsedMs: number;
-  /** Until the request's deadline. Milliseconds. */
+  /** Time until the request's deadline. Milliseconds. */
   readonly leftMs: number;
-  /** Until the root has to answer with what it has; parts that are in by then are sent. Milliseconds. */
+  /**
+   * Time until the leaf must report the parts received so far, as the root is about to answer.
+   * Milliseconds.
+   */
   readonly reportInMs: number;
-  /** Another leaf was given these shards before and may have asked replicas. */
+  /** Another leaf received these shards before and may have sent requests to replicas. */
   readonly isRepeat: boolean;
 }
 
 /**
- * Root to relay: have these shards asked by the leaves of the relay's zone, and report their parts
- * merged. All else is as with a gather: what a leaf may do without a grant, a relay and its
- * leaves together may.
+ * Root to relay: have the leaves of the relay's zone query these shards, and report their merged
+ * parts. A relay and its leaves together are bound by the limits of a single leaf: without a grant
+ * they send one attempt per shard.
  */
 export interface RelayMessage extends Omit<GatherMessage, 'kind'> {
   readonly kind: 'relay';
 }
 
-/** Root to leaf: the result is not wanted any more. */
+/** Root to leaf: the result is no longer needed. */
 export interface CancelMessage {
   readonly kind: 'cancel';
   readonly gatherId: number;
 }
 
 /**
- * Root to leaf: it may ask a second replica of a shard. After this the root gives
- * the shards to no other leaf, so that all together keep to the attempts of the route.
+ * Root to leaf: permits attempts to further replicas of each shard. The root then assigns the
+ * shards to no other leaf, so that all leaves together stay within the route's attempt limit.
  */
 export interface GrantMessage {
   readonly kind: 'grant';
   readonly gatherId: number;
 }
 
-/** Leaf to root: parts that are in since the last such message of the gather, merged. */
+/**
+ * Leaf to root: a report with the merged parts received since the previous report of the gather.
+ */
 export interface PartsMessage {
   readonly kind: 'parts';
   readonly gatherId: number;
-  /** Positions of their shards in the gather's list, a JSON array. */
+  /** Positions of the parts' shards in the gather's list, as a JSON array. */
   readonly shards: string;
-  /** The replicas' signatures in the same order, a JSON array. */
+  /** Signatures of the replicas in the same order, as a JSON array. */
   readonly signatures: string;
-  /** The greatest records of these parts. */
+  /** The greatest records of these parts, merged. */
   readonly records: Uint8Array;
-  /** Nothing more follows: shards not named in any message of the gather have failed. */
+  /** Last report of the gather: shards that no report contained have failed. */
   readonly isLast: boolean;
-  /** The leaf wants to ask second replicas and needs the root's grant for it. */
+  /** The leaf requests a grant to send attempts to further replicas. */
   readonly wantsGrant: boolean;
-  /** Whether a replica of a shard without a part may have run the request. */
+  /** Whether a replica of a shard without a part may have executed the request. */
   readonly mayHaveRun: boolean;
-  /** Requests to replicas so far. */
+  /** Number of attempts sent to replicas so far. */
   readonly sends: number;
-  /** Why shards failed; empty when none did. */
+  /** Why shards failed; empty when none has failed. */
   readonly reason: string;
-  /** Part of the requests for these shards that their replicas' queues let the leaf take on. */
+  /**
+   * Fraction of the requests for these shards that the leaf admits, given the queues of their
+   * replicas.
+   */
   readonly admittedPart: number;
-  /** Gathers in progress at the leaf. */
+  /** Number of gathers in progress at the leaf. */
   readonly gathersInProgress: number;
 }
 
-/** Leaf to root: the gather was not begun, and asks no replica. */
+/** Leaf to root: the gather was not started, and no replica received the request. */
 export interface DeclinedMessage {
   readonly kind: 'declined';
   readonly gatherId: number;
   readonly reason: string;
 }
 
-/** Leaf to root: it is about to stop. It finishes what it has and takes no new gathers. */
+/**
+ * Leaf to root: the leaf is draining. It finishes the gathers in progress and declines new ones.
+ */
 export interface StoppingMessage {
   readonly kind: 'stopping';
 }
--- a/src/aggregation/aggregation.ts
+++ b/src/aggregation/aggregation.ts
@@ -1,6 +1,6 @@
 /**
- * The part of a gateway that divides large fan-outs: as a root it gives groups of
- * shards to leaves, as a leaf it takes such groups from other roots.
+ * Divides large fan-outs among gateways. As a root, a gateway assigns groups of shards to leaf
+ * gateways; as a leaf, it queries the shards of groups that other roots assign to it.
  */
 import type { AggregationSettings } from '../configuration/gateway-configuration.js';
 import type { LeafGateway } from '../directory/leaf-gateway.js';
@@ -23,19 +23,19 @@
 import { SourcePlanner } from './source-planner.js';
 
 /**
- * Leaves that share a replica's connections and the second sends of its service, for each of its
- * group's owners: the owner, and one that stands in for it or holds the connections of a
- * division that has just changed.
+ * Leaves per group owner among which a replica's connections and its service's retry budget are
+ * shared: the owner, and one more that replaces it or still holds connections from before the
+ * groups changed.
  */
 const SHARING_LEAVES_PER_OWNER = 2;
-/** How often connections to leaves are looked after. Milliseconds. */
+/** Interval at which connections to leaves are opened and closed as the groups require. */
 const MAINTENANCE_INTERVAL_MS = 300;
 
-/** What the part is made of. */
+/** Dependencies and settings of {@link Aggregation}. */
 export interface AggregationOptions {
   readonly context: GatewayContext;
   readonly identity: LocalIdentity;
-  /** Of this gateway. */
+  /** Zone of this gateway. */
   readonly zone: string;
   readonly settings: AggregationSettings;
   readonly secondSends: SecondSendLimits;
@@ -45,7 +45,7 @@
   readonly stopped: AbortSignal;
 }
 
-/** See the module comment. */
+/** Created once per gateway; {@link listen} is called only on a gateway that acts as a leaf. */
 export class Aggregation {
   private readonly pool: LeafPool;
   private readonly assignment: LeafAssignment;
@@ -86,7 +86,11 @@
     });
   }
 
-  /** @throws ConnectionError when the address cannot be listened on. */
+  /**
+   * Accepts connections of roots.
+   *
+   * @throws ConnectionError when it cannot listen on the address.
+   */
   async listen(address: Address): Promise<void> {
     const { context, identity, telemetry } = this.options;
     this.listener = await AuthenticatedListener.listen(
@@ -98,17 +102,17 @@
     );
   }
 
-  /** Keeps connections to leaves open until the gateway stops. */
+  /** Maintains connections to leaves until the gateway stops. */
   start(): void {
     void this.maintainConnections();
   }
 
-  /** Gathers in progress here for other gateways. */
+  /** Number of gathers in progress on this gateway for other gateways. */
   get inProgress(): number {
     return this.server.inProgress;
   }
 
-  /** Who asks the shards of the request. */
+  /** Returns the sources that together query the shards of the request; none of them is started. */
   plan(
     request: CallerRequest,
     shards: readonly string[],
@@ -117,7 +121,10 @@
     return this.planner.plan(request, shards, listener);
   }
 
-  /** Whether this gateway asks the service itself, so that connections to its replicas pay. */
+  /**
+   * Whether this gateway queries the service directly, so that warm connections to its replicas pay
+   * off.
+   */
   queriesDirectly(service: string): boolean {
     const lists = this.options.table()?.shardLists ?? [];
     let isNamed = false;
@@ -126,13 +133,13 @@
       if (this.isOwner(list.shards, service)) return true;
       isNamed = true;
     }
-    // Perhaps a shard of the next version of the routes: of a few it may be asked from here.
+    // May be a shard of the next route document: queried from here while no list is divided.
     return !isNamed && !lists.some(({ shards }) => this.planner.isDivided(shards));
   }
 
   /**
-   * Replicas that are asked first, of services that are asked from here: where each zone asks its
-   * own replicas, those of other zones are asked too seldom to hold connections to all of them.
+   * Replicas that this gateway prefers. Where each zone queries its own replicas, it queries those
+   * of other zones too rarely to hold connections to all of them.
    */
   *preferredTargets(): IterableIterator<ReplicaTarget> {
     const { context, settings, zone } = this.options;
@@ -150,12 +157,12 @@
     }
   }
 
-  /** Planned stop, first half: takes no new gathers; those in progress go on. */
+  /** First step of a drain: declines new gathers; those in progress continue. */
   stopAccepting(): void {
     this.server.stop();
   }
 
-  /** Planned stop, second half. */
+  /** Second step of a drain: closes all connections. */
   async close(): Promise<void> {
     this.pool.close();
     await this.listener?.close();
@@ -166,7 +173,7 @@
     return this.ownedShards(this.assignment.directGroupsOf(shards)).has(service);
   }
 
-  /** Shards of the groups that this gateway owns. Asked for with each replica, so it is kept. */
+  /** Shards of the groups that this gateway owns; cached, as it is needed once per replica. */
   private ownedShards(groups: readonly LeafGroup[]): ReadonlySet<string> {
     const known = this.ownedShardsByGroups.get(groups);
     if (known !== undefined) return known;
@@ -186,7 +193,7 @@
     return new FleetShares(clock, secondSends, () => this.sharingLeaves, youngShares);
   }
 
-  /** Where each zone asks its own replicas, the owners of any zone may send to any replica. */
+  /** Where each zone queries its own replicas, the owners of every zone may send to any replica. */
   private get sharingLeaves(): number {
     const { settings, leaves } = this.options;
     if (!settings.nearGroups) return SHARING_LEAVES_PER_OWNER * GROUP_OWNERS;
--- a/src/aggregation/encode-request.ts
+++ b/src/aggregation/encode-request.ts
@@ -1,4 +1,4 @@
-/** A caller's request as leaves get it, encoded once for all of them. */
+/** Encodes a caller's request for leaves. The result is reused for all leaves of the request. */
 import { priorityOf, type CallerRequest } from '../gateway/caller-request.js';
 import { targetLatencyOf } from '../gateway/route-latencies.js';
 import { AGGREGATION_CODEC } from './aggregation-messages.js';
--- a/src/aggregation/group-gather.ts
+++ b/src/aggregation/group-gather.ts
@@ -1,8 +1,8 @@
 /**
- * Has one group of shards asked by a leaf; by another leaf when the first one
- * declines, is lost or does not report in its usual time; from here when no leaf
- * can be reached. A leaf that may have asked replicas counts: the next one gets
- * fewer attempts, and each of its sendings takes from the budget of second sends.
+ * Has a leaf query one group of shards. Another leaf is tried when the first one declines, is lost
+ * or does not report within its usual time; when no leaf is reachable, this gateway queries the
+ * shards itself. A leaf that may have sent requests to replicas counts as an attempt: the next
+ * leaf gets fewer attempts, and each of its sends takes from the retry budget.
  */
 import type { LogFields } from '../observability/logger.js';
 import type { Timer } from '../seams/clock.js';
@@ -18,46 +18,47 @@
 import type { GatherCall, LeafLink } from './leaf-link.js';
 import type { LeafPool } from './leaf-pool.js';
 
-/** Most leaves that are asked one after the other. */
+/** Maximum number of leaves that are tried in turn. */
 const MAXIMUM_LEAVES_TRIED = 3;
-/** Time for a leaf's report to arrive and be merged before the root answers. Milliseconds. */
+/** Time for a leaf's report to arrive and be merged before the root answers. */
 const REPORT_MARGIN_MS = 6;
 /**
- * The same for a relay: a round trip between zones, and the reports of its own leaves. One report
- * that is late lacks many shards; parts that come after it in time follow one by one. Milliseconds.
+ * The same for a relay: covers a round trip between zones and the reports of the relay's leaves. A
+ * relay's report that arrives too late costs many shards at once; parts that reach the relay after
+ * its report are forwarded one by one and may still be in time.
  */
 const RELAY_REPORT_MARGIN_MS = 24;
 
-/** What all gathers of a root share. */
+/** Dependencies that all gathers of a root share. */
 export interface GroupGatherContext {
-  /** For shards that are asked from here because no leaf can be reached. */
+  /** Used for shards that this gateway queries itself because no leaf is reachable. */
   readonly rootContext: GatewayContext;
-  /** For groups of which this gateway is a leaf itself. */
+  /** Used for groups whose first leaf is this gateway. */
   readonly leafContext: GatewayContext;
   readonly ownName: string;
   readonly pool: LeafPool;
   readonly latencies: LeafLatencies;
 }
 
-/** What is asked. */
+/** The group to query and its terms. */
 export interface GroupGatherOptions {
   readonly group: LeafGroup;
-  /** Shards of the whole request. */
+  /** Number of shards of the whole request. */
   readonly totalShards: number;
   /** An encoded `RequestMessage`. */
   readonly encodedRequest: Uint8Array;
-  /** At a relay: the root may have given the shards to another one before. */
+  /** At a relay: the root may have assigned the shards to another gateway before. */
   readonly isRepeat?: boolean;
-  /** At a relay: when it reports to the root. Clock reading. */
+  /** At a relay: when the relay must report to the root. Clock reading. */
   readonly reportAt?: number;
   /**
-   * At a relay: asked before any shard may be asked a second time; once it has said no,
-   * {@link GroupGather.handleGrant} follows if that changes.
+   * At a relay: called before a further attempt to any shard. After it has returned false,
+   * {@link GroupGather.handleGrant} is called if the root grants further attempts.
    */
   readonly maySendAgain?: () => boolean;
 }
 
-/** See the module comment. */
+/** Calls its listener once per part, and for failed shards when no further leaf is tried. */
 export class GroupGather implements PartSource, PartListener {
   private readonly missing: Set<string>;
   private readonly attempts: LeafAttempt[] = [];
@@ -66,10 +67,10 @@
   private localGather: ShardGather | undefined;
   private reportTimer: Timer | undefined;
   private mayHaveRun = false;
-  /** Replicas of each missing shard that may still be asked, over all leaves together. */
+  /** Attempts left per missing shard, over all leaves together. */
   private attemptsLeft: number;
   private isDone = false;
-  /** What waits for the root's grant; see `GroupGatherOptions.maySendAgain`. */
+  // Steps that wait for the root's grant; see `GroupGatherOptions.maySendAgain`.
   private isHedgePending = false;
   private isReplacementPending = false;
   private isNextLeafPending = false;
@@ -113,7 +114,7 @@
   }
 
   get isOffered(): boolean {
-    // A leaf that was lost before it reported may have asked replicas.
+    // A leaf that was lost before it reported may have sent requests to replicas.
     return this.active.size > 0 || this.sends > 0 || this.mayHaveRun;
   }
 
@@ -135,13 +136,13 @@
     this.listener.onParts(parts);
   }
 
-  /** From the shards that are asked from here: nobody else is asked after that. */
+  /** Called for shards that this gateway queries itself, after which no other leaf is tried. */
   onFailed(shards: readonly string[]): void {
     if (this.isDone) return;
     this.listener.onFailed(shards);
   }
 
-  /** At a relay: the root has granted second sendings. */
+  /** At a relay: handles the root's grant of further attempts. */
   handleGrant(): void {
     if (this.isDone) return;
     for (const attempt of this.active) {
@@ -150,7 +151,7 @@
     if (this.isHedgePending) this.localGather?.hedge();
     if (this.isReplacementPending) this.replaceSilentLeaf();
     if (!this.isNextLeafPending) return;
-    // Else a leaf that declines after this would be followed by nobody.
+    // Reset first: while it is set, no leaf would be tried after one that declines.
     this.isNextLeafPending = false;
     this.tryNextLeaf();
   }
@@ -159,7 +160,7 @@
     return this.options.maySendAgain?.() !== false;
   }
 
-  /** Asks the next leaf for what is missing. */
+  /** Sends the missing shards to the next leaf, or queries them here when there is none. */
   private tryNextLeaf(): void {
     if (this.attemptsLeft < 1) {
       this.listener.onFailed([...this.missing]);
@@ -234,7 +235,7 @@
 
   private handleReport(attempt: LeafAttempt, parts: GatheredParts, report: PartsMessage): void {
     this.recordReport(attempt, report);
-    // Parts of several shards cannot be taken apart: all of them are new, or none is used.
+    // Merged parts of several shards cannot be separated: all must be new, or none is used.
     const isNew = parts.shards.every((shard) => this.missing.has(shard));
     if (isNew && parts.shards.length > 0) this.onParts(parts);
     if (report.wantsGrant) this.grantTo(attempt);
@@ -263,7 +264,7 @@
     latencies.recordReport(this.request.route, this.now() - attempt.sentAt);
   }
 
-  /** The last leaf has reported: what is still missing has failed. */
+  /** Reports the missing shards as failed once the last leaf has ended. */
   private failMissingIfEnded(): void {
     if (this.isDone || this.active.size > 0 || this.localGather !== undefined) return;
     if (this.missing.size > 0) this.listener.onFailed([...this.missing]);
@@ -277,7 +278,7 @@
     this.endAttempt(attempt, 'lost');
   }
 
-  /** Without a grant a leaf asks one replica of each shard. */
+  /** Without a grant, a leaf sends one attempt per shard; with a grant, all that are left. */
   private deductAttempts({ isGranted }: LeafAttempt): void {
     this.attemptsLeft = isGranted ? 0 : this.attemptsLeft - 1;
   }
@@ -290,7 +291,10 @@
     if (!this.isNextLeafPending) this.tryNextLeaf();
   }
 
-  /** A leaf that has not reported in its usual time may be frozen or cut off: another is asked as well. */
+  /**
+   * Tries another leaf as well when one has not reported in time, as it may be frozen or
+   * unreachable.
+   */
   private replaceSilentLeaf(): void {
     const { pool, rootContext } = this.context;
     const [silent] = [...this.active].filter(({ hasReported }) => !hasReported);
--- a/src/aggregation/json-list.ts
+++ b/src/aggregation/json-list.ts
@@ -1,4 +1,7 @@
-/** Lists inside messages, as JSON: Avro arrays are not used, see `message-codec.ts`. */
+/**
+ * Decodes lists in messages, which are JSON texts: Avro arrays are not used, see
+ * `message-codec.ts`.
+ */
 import { MalformedMessageError } from '../protocol/malformed-message-error.js';
 
 function readArray(text: string, peer: string, name: string): unknown[] {
@@ -6,23 +9,27 @@
   try {
     value = JSON.parse(text);
   } catch (error) {
-    throw new MalformedMessageError('read list', peer, `${name} is no JSON`, error);
+    throw new MalformedMessageError('read list', peer, `${name} is not JSON`, error);
   }
   if (!Array.isArray(value)) {
-    throw new MalformedMessageError('read list', peer, `${name} is no list`);
+    throw new MalformedMessageError('read list', peer, `${name}: expected a JSON array`);
   }
   return value;
 }
 
-/** @throws MalformedMessageError when `text` is not a list of strings. */
+/**
+ * Decodes an array of strings.
+ *
+ * @throws MalformedMessageError when `text` is not a JSON array of strings.
+ */
 export function readStrings(text: string, peer: string, name: string): string[] {
   const list = readArray(text, peer, name);
   if (list.every((item) => typeof item === 'string')) return list;
-  throw new MalformedMessageError('read list', peer, `${name} holds something else than text`);
+  throw new MalformedMessageError('read list', peer, `${name}: expected strings only`);
 }
 
 /**
- * Different whole numbers from 0 to below `limit`.
+ * Decodes an array of distinct integers from 0 up to, but not including, `limit`.
  *
  * @throws MalformedMessageError when `text` holds anything else.
  */
@@ -31,5 +38,9 @@
   const isPosition = (item: unknown): item is number =>
     Number.isInteger(item) && Number(item) >= 0 && Number(item) < limit;
   if (list.every(isPosition) && new Set(list).size === list.length) return list;
-  throw new MalformedMessageError('read list', peer, `${name} holds a wrong position`);
+  throw new MalformedMessageError(
+    'read list',
+    peer,
+    `${name}: expected distinct positions within the list`,
+  );
 }
--- a/src/aggregation/leaf-assignment.ts
+++ b/src/aggregation/leaf-assignment.ts
@@ -1,8 +1,8 @@
 /**
- * Divides the shards of a route into groups, and ranks the leaves that may ask
- * each group. Gateways that know the same replicas and leaves compute the same,
- * so that few leaves hold connections to a replica and see most of its requests;
- * where they differ, only those connections are more.
+ * Divides the shards of a route into groups and ranks the leaves that may query each group.
+ * Gateways that know the same replicas and leaves compute the same result, so that few leaves hold
+ * connections to a replica and see most of its requests. Where their views differ, the only cost
+ * is additional connections.
  */
 import { rankFor, type LeafGateway } from '../directory/leaf-gateway.js';
 import type { ServiceTargets } from '../gateway/service-targets.js';
@@ -11,36 +11,40 @@
 import { GROUP_OWNERS, SAME_ZONE_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
 
 /**
- * Computed again when the leaves have changed, when the number of replicas has, at
- * most this often, and after the longest time anyway. It takes some milliseconds.
+ * Minimum interval between computations, each of some milliseconds, as the number of replicas
+ * changes.
  */
 const MINIMUM_REFRESH_INTERVAL_MS = 1_000;
+/**
+ * Age after which the groups are computed again in any case; a change of the leaves takes effect at
+ * once.
+ */
 const MAXIMUM_REFRESH_INTERVAL_MS = 10_000;
 
 interface CachedDivision {
   readonly computedAt: number;
-  /** Replicas that were known. */
+  /** Number of replicas that were known. */
   readonly replicaCount: number;
   readonly leaves: readonly LeafGateway[];
   readonly division: Division;
 }
 
-/** Both ways in which the shards of a list are given out. */
+/** The groups of a shard list, without and with relays. */
 interface Division {
-  /** Each group to the leaves that ask its shards. */
+  /** Groups for the leaves that query the shards. */
   readonly direct: readonly LeafGroup[];
-  /** The same with groups joined that a relay is given. */
+  /** The same groups, those for a relay merged. */
   readonly withRelays: readonly LeafGroup[];
 }
 
-/** What the assignment goes by. */
+/** Dependencies and settings of {@link LeafAssignment}. */
 export interface LeafAssignmentOptions {
   readonly now: () => number;
   readonly targets: ServiceTargets;
   readonly leaves: () => readonly LeafGateway[];
-  /** Most shards of a group. */
+  /** Maximum number of shards per group. */
   readonly shardsPerGroup: number;
-  /** Where the gateway stands whose groups are to be asked in its own zone; undefined: in any. */
+  /** The root in whose zone shards are queried where possible; undefined: groups go to any zone. */
   readonly sameZoneAs?: RootLocation | undefined;
 }
 
@@ -48,7 +52,7 @@
   return name;
 }
 
-/** Cuts `items` into runs of nearly equal length, none longer than `longest`. */
+/** Splits `items` into slices of nearly equal length, none longer than `maximumLength`. */
 function splitEvenly<T>(items: readonly T[], maximumLength: number): T[][] {
   const count = Math.ceil(items.length / maximumLength);
   return Array.from({ length: count }, (_, index) =>
@@ -59,21 +63,21 @@
   );
 }
 
-/** See the module comment. */
+/** Caches the groups of each shard list by the identity of its array. */
 export class LeafAssignment {
   private readonly cache = new WeakMap<readonly string[], CachedDivision>();
 
   constructor(private readonly options: LeafAssignmentOptions) {}
 
   /**
-   * Groups of the shards as a root gives them out; none while no leaf is known. `shards` is a
-   * list of a route document.
+   * Groups in which a root assigns the shards, relays included; empty while no leaf is known.
+   * `shards` is a list of the route table, whose array identifies it in the cache.
    */
   groupsOf(shards: readonly string[]): readonly LeafGroup[] {
     return this.divisionOf(shards).withRelays;
   }
 
-  /** The same, each group to the leaves that ask its shards. */
+  /** The same groups without relays: each one is for the leaves that query its shards. */
   directGroupsOf(shards: readonly string[]): readonly LeafGroup[] {
     return this.divisionOf(shards).direct;
   }
@@ -132,9 +136,9 @@
   }
 
   /**
-   * All roots cut the list alike, whatever their zone; of each part a zone is given the shards that
-   * it holds. A replica that is lost then moves its shard alone, and a relay divides the shards that
-   * other zones ask of it by the groups of its own.
+   * All roots split the list into the same parts, whatever their zone; each zone gets the shards of
+   * a part for which it has replicas. The loss of a replica therefore moves only its own shard, and
+   * a relay can divide the shards that it gets from other zones by the groups of its own zone.
    */
   private divideBySameZone(
     shards: readonly string[],
@@ -156,7 +160,7 @@
     );
   }
 
-  /** Owners of one group own another one only where there are fewer leaves than that takes. */
+  /** Makes a leaf the owner of a second group only when there are too few leaves for all groups. */
   private assignLeaves(
     zone: string,
     parts: readonly (readonly string[])[],
@@ -167,7 +171,7 @@
     return parts.map((part, index) => {
       const ranked = rankFor(`${zone} ${index}`, leaves, nameOf);
       const ownedGroupsOf = ({ name }: LeafGateway): number => ownedGroups.get(name) ?? 0;
-      // The sort is stable: among leaves that own as many groups the rank decides.
+      // The sort is stable: leaves that own equally many groups stay in the order of their rank.
       const local = ranked.filter((leaf) => leaf.zone === zone);
       local.sort((left, right) => ownedGroupsOf(left) - ownedGroupsOf(right));
       for (const leaf of local.slice(0, owners))
@@ -177,7 +181,9 @@
     });
   }
 
-  /** A zone with replicas of the shard and with leaves; any with leaves when there is none. */
+  /**
+   * A zone with leaves and with replicas of the shard, or any zone with leaves when there is none.
+   */
   private hashToZone(shard: string, zones: readonly string[]): string {
     const zonesOfReplicas = this.replicaZonesOf(shard);
     const candidates = zones.filter((zone) => zonesOfReplicas.has(zone));
--- a/src/aggregation/leaf-attempt.ts
+++ b/src/aggregation/leaf-attempt.ts
@@ -1,25 +1,25 @@
-/** One leaf that was asked for a group of shards, and what became of it. */
+/** State of one attempt to have a leaf query a group of shards. */
 import type { LogFields } from '../observability/logger.js';
 import type { GatherHandle } from './leaf-link.js';
 
-/** See the module comment. Times are clock readings. */
+/** Times are clock readings. */
 export interface LeafAttempt {
   readonly leaf: string;
   readonly sentAt: number;
   handle: GatherHandle | undefined;
   hasReported: boolean;
-  /** It has asked to be allowed second replicas. */
+  /** The leaf has requested a grant; see `GrantMessage`. */
   wantsGrant: boolean;
-  /** It may ask second replicas. */
+  /** The leaf may send attempts to further replicas. */
   isGranted: boolean;
-  /** Its attempts have been counted: another leaf was asked as well. */
+  /** Another leaf was tried as well, so the attempts of this one are already deducted. */
   isReplaced: boolean;
   sends: number;
   endedAt: number | undefined;
   result: string;
 }
 
-/** An attempt that begins now. */
+/** Creates the record of an attempt in flight. */
 export function beginLeafAttempt(leaf: string, sentAt: number): LeafAttempt {
   return {
     leaf,
@@ -35,7 +35,10 @@
   };
 }
 
-/** For the log. `receivedAt` is the request's; `missing` are the group's shards without a part. */
+/**
+ * Returns the log fields of an attempt. `receivedAt` is when the root received the request;
+ * `missing` is the number of the group's shards without a part.
+ */
 export function leafAttemptFields(
   { leaf, sentAt, endedAt, result, sends }: LeafAttempt,
   receivedAt: number,
--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -1,8 +1,8 @@
 /**
- * One gather at a leaf: asks the shards and reports their parts to the root,
- * merged. It reports when all have ended; also once when attempts are unusually
- * late, so that the root sees that the leaf lives, and when the root has to
- * answer with what it has; from then on each part as it comes.
+ * One gather at a leaf: queries the shards and reports their merged parts to the root. A report
+ * is sent when all shards have ended, once when attempts are unusually late (which shows the root
+ * that the leaf is alive), and when the root is about to answer; after that, each part is reported
+ * as it arrives.
  */
 import type { Timer } from '../seams/clock.js';
 import type { CallerRequest } from '../gateway/caller-request.js';
@@ -15,39 +15,45 @@
 import type { PartsMessage } from './aggregation-messages.js';
 import type { LeafSource } from './leaf-source.js';
 
-/** The grant is asked for at this part of the hedge delay, to be there when it is needed. */
+/**
+ * Fraction of the hedge delay after which the grant is requested, so that it arrives in time for
+ * the hedge.
+ */
 const GRANT_REQUEST_FRACTION = 0.7;
 
-/** What a leaf was asked to do. */
+/** A root's gather and the callbacks to report it. */
 export interface LeafGatherOptions {
   readonly gatherId: number;
   readonly request: CallerRequest;
   readonly shards: readonly string[];
   readonly totalShards: number;
   readonly isRepeat: boolean;
-  /** Milliseconds from now. */
+  /** Time until the report that the root waits for. Milliseconds from now. */
   readonly reportInMs: number;
-  /** Name of the gateway that asks. */
+  /** Name of the root gateway. */
   readonly root: string;
-  /** Version of the route document that it works by. */
+  /** Version of the root's route document. */
   readonly rootRouteVersion: number;
-  /** At a relay: makes what has the shards asked by leaves; absent: they are asked from here. */
+  /**
+   * At a relay: creates the source that queries the shards through leaves; absent: they are queried
+   * directly.
+   */
   readonly relay?:
     ((listener: PartListener, maySendAgain: () => boolean) => LeafSource) | undefined;
   readonly report: (message: PartsMessage) => void;
   readonly onEnd: () => void;
-  /** Gathers in progress at this leaf, for the root's choice. */
+  /** Number of gathers in progress at this leaf, by which roots choose among leaves. */
   readonly gathersInProgress: () => number;
 }
 
 interface ReportOptions {
   readonly isLast: boolean;
   readonly wantsGrant: boolean;
-  /** Why the gather ends. */
+  /** Why the gather ended; reported only when shards failed or are missing. */
   readonly reason: string;
 }
 
-/** See the module comment. */
+/** Starts with {@link start}; ends by itself or by {@link cancel}, then calls `onEnd` once. */
 export class LeafGather implements PartListener {
   private readonly gather: LeafSource;
   private readonly positions: ReadonlyMap<string, number>;
@@ -58,7 +64,7 @@
   private isReportTimePast = false;
   private hasRequestedGrant = false;
   private isGranted = false;
-  /** A second sending was due before the grant came. */
+  /** A hedge was due before the grant arrived. */
   private isHedgePending = false;
   private isDone = false;
 
@@ -89,7 +95,7 @@
     this.gather.start();
   }
 
-  /** Reports by the time that the root wants it, earlier where timers run late here. */
+  /** Schedules the report that the root waits for, earlier by the lag of timers on this gateway. */
   private startReportTimer(): Timer {
     const { environment, answerMargin } = this.context;
     const { clock } = environment;
@@ -114,13 +120,15 @@
     this.reportProgress();
   }
 
-  /** The root does not want the rest. */
+  /** Ends the gather without a report. */
   cancel(reason: string): void {
     if (this.isDone) return;
     this.finish(reason);
   }
 
-  /** The root has given the shards to no other leaf, and will not. */
+  /**
+   * Handles the root's grant: the shards are assigned to no other leaf, so hedges are permitted.
+   */
   grant(): void {
     this.isGranted = true;
     if (this.isHedgePending && !this.isDone) this.gather.hedge();
@@ -133,7 +141,7 @@
     return false;
   }
 
-  /** Also shows the root that this leaf lives. */
+  /** The report also shows the root that this leaf is alive. */
   private requestGrant(): void {
     if (this.hasRequestedGrant || this.isDone) return;
     this.hasRequestedGrant = true;
--- a/src/aggregation/leaf-group.ts
+++ b/src/aggregation/leaf-group.ts
@@ -1,26 +1,29 @@
-/** Shards that are given to one leaf, and the leaves that may get them. */
+/** A group of shards that one leaf queries, and the candidate leaves. */
 import type { LeafGateway } from '../directory/leaf-gateway.js';
 
 /**
- * First leaves of a group, which share its gathers; the others stand by. More of
- * them wait less for each other, and each sees less of what it could learn from.
+ * Number of owners of a group: its first leaves, which share its gathers; the others are standbys.
+ * More owners queue less, but each one sees fewer requests to learn latencies from.
  */
 export const GROUP_OWNERS = 3;
 /**
- * The same where each zone asks its own replicas: every zone has owners of every group then, and
- * with as many of them a replica would be connected to by several times as many gateways.
+ * Number of owners where each zone queries its own replicas. Every zone then has owners of every
+ * group, so {@link GROUP_OWNERS} per zone would multiply the gateways connected to a replica.
  */
 export const SAME_ZONE_GROUP_OWNERS = 2;
 
-/** See the module comment. */
+/** Computed by `LeafAssignment`. */
 export interface LeafGroup {
-  /** Of its owners. */
+  /** Zone of the group's owners. */
   readonly zone: string;
   readonly shards: readonly string[];
-  /** Whether its leaf has other leaves ask the shards; see `far-groups.ts`. */
+  /**
+   * Whether the leaf acts as a relay, which has other leaves query the shards; see
+   * `relayed-groups.ts`.
+   */
   readonly isRelayed: boolean;
-  /** First of the leaves, which share the group's gathers. */
+  /** Number of owners: the first of `leaves`, which share the group's gathers. */
   readonly owners: number;
-  /** Leaves that may ask them, the best first: those of the zone of the replicas, then others. */
+  /** Leaves that may query the shards, the best first: those of the replicas' zone, then others. */
   readonly leaves: readonly LeafGateway[];
 }
--- a/src/aggregation/leaf-latencies.ts
+++ b/src/aggregation/leaf-latencies.ts
@@ -1,26 +1,29 @@
-/** How long leaves take until they first report on a gather, for each route. */
+/** Tracks, for each route, the latency of a leaf's first report on a gather. */
 import { targetLatencyOf } from '../gateway/route-latencies.js';
 import { LatencyDigest } from '../policies/latency-digest.js';
 import type { Route } from '../routes/route-document.js';
 
 const WINDOW_SAMPLES = 400;
-/** Below this many samples the bounds stand in. */
+/** With fewer samples, the upper bound of the timeout applies. */
 const MINIMUM_SAMPLES = 60;
 const REFRESH_EVERY_SAMPLES = 30;
-/** A report that is later than this part of them is unusual. */
+/** Quantile of the latencies beyond which a report is unusually late. */
 const LATE_QUANTILE = 0.98;
-/** Factor on that quantile: asking another leaf costs a second request to each shard of the group. */
+/**
+ * Factor on that quantile, as trying another leaf costs a second request to each shard of the
+ * group.
+ */
 const LATE_FACTOR = 1.3;
-/** Parts of the route's target that bound the time after which another leaf is asked. */
+/** Bounds of the timeout, as fractions of the route's target latency. */
 const MINIMUM_TIMEOUT_FRACTION = 0.4;
 const MAXIMUM_TIMEOUT_FRACTION = 0.65;
 const MAXIMUM_ROUTES = 10_000;
 
-/** Of one route. Milliseconds. */
+/** Report latencies of one route. Milliseconds. */
 class ReportLatency {
   private readonly digest = new LatencyDigest(WINDOW_SAMPLES);
   private samples = 0;
-  /** Time after which another leaf is asked. */
+  /** Time without a report after which another leaf is tried. */
   timeoutMs: number;
 
   constructor(private readonly targetMs: number) {
@@ -40,16 +43,16 @@
   }
 }
 
-/** See the module comment. */
+/** Bounded to {@link MAXIMUM_ROUTES} routes; all are forgotten when another one is added. */
 export class LeafLatencies {
   private readonly byRoute = new Map<string, ReportLatency>();
 
-  /** Time without a report after which another leaf is asked. Milliseconds. */
+  /** Time without a report after which another leaf is tried. Milliseconds. */
   reportTimeoutMs(route: Route): number {
     return this.of(route).timeoutMs;
   }
 
-  /** A leaf reported for the first time. */
+  /** Records the latency of a leaf's first report on a gather. Milliseconds. */
   recordReport(route: Route, latencyMs: number): void {
     this.of(route).add(latencyMs);
   }
--- a/src/aggregation/leaf-link.ts
+++ b/src/aggregation/leaf-link.ts
@@ -1,6 +1,6 @@
 /**
- * The root's connection to one leaf, opened when it is first wanted and again
- * after a loss. Gathers that are in progress when it is lost end as lost.
+ * A root's link to one leaf: a connection that is opened on demand and reopened with exponential
+ * backoff after a loss. Gathers in progress when the connection is lost end as lost.
  */
 import type { LeafGateway } from '../directory/leaf-gateway.js';
 import type { GatheredParts } from '../gateway/part-source.js';
@@ -22,23 +22,28 @@
 } from './aggregation-messages.js';
 import { readPositions, readStrings } from './json-list.js';
 
-/** Longest time to open a connection; a leaf without power answers nothing. Milliseconds. */
+/** Connect timeout; a leaf without power does not even refuse connections. */
 const DIAL_TIMEOUT_MS = 300;
-/** Pause before a leaf that could not be reached is dialled again; doubled each time, up to the most. Milliseconds. */
+/**
+ * Backoff before an unreachable leaf is dialled again; doubles with each failure up to the maximum.
+ */
 const INITIAL_BACKOFF_MS = 200;
 const MAXIMUM_BACKOFF_MS = 3_000;
-/** A leaf that had this long for a gather and said nothing is cut off or frozen. Milliseconds. */
+/**
+ * A leaf that sends nothing for this long while a gather is in progress is taken for unreachable or
+ * frozen.
+ */
 export const SILENCE_TIMEOUT_MS = 1_000;
 
-/** What the root hears of one gather. */
+/** Receives the events of one gather at the root. */
 export interface GatherListener {
   onReport(parts: GatheredParts, message: PartsMessage): void;
   onDeclined(reason: string): void;
-  /** The connection ended; the leaf may have asked replicas. */
+  /** The connection was lost; the leaf may have sent requests to replicas. */
   onLost(): void;
 }
 
-/** What all links of a root share. */
+/** Dependencies that all links of a root share. */
 export interface LeafLinkOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
@@ -46,14 +51,16 @@
   readonly traffic: ZoneTraffic;
 }
 
-/** What a leaf is asked to do. */
+/** A gather or relay to send to a leaf. */
 export interface GatherCall extends Omit<GatherMessage, 'kind' | 'gatherId' | 'shards'> {
-  /** Whether the leaf itself asks the shards, or has others of its zone ask them. */
+  /**
+   * `gather`: the leaf queries the shards itself; `relay`: it has leaves of its zone query them.
+   */
   readonly kind: 'gather' | 'relay';
   /** An encoded `RequestMessage`. */
   readonly request: Uint8Array;
   readonly shards: readonly string[];
-  /** Greatest records that a report may hold. */
+  /** Maximum number of records in a report. */
   readonly topRecords: number;
 }
 
@@ -66,17 +73,17 @@
 
 /** A gather in progress. */
 export interface GatherHandle {
-  /** Allows the leaf second sendings; see `GrantMessage`. */
+  /** Permits the leaf attempts to further replicas; see `GrantMessage`. */
   grant(): void;
-  /** The result is not wanted any more; the listener hears nothing further. */
+  /** Cancels the gather; its listener is not called any more. */
   cancel(): void;
 }
 
-/** See the module comment. */
+/** The link stays usable after a loss of its connection, until {@link close}. */
 export class LeafLink {
-  /** Said that it is about to stop, on this connection. */
+  /** Whether the leaf announced on this connection that it is draining. */
   isStopping = false;
-  /** Gathers in progress at the leaf, for all roots, as it last said. */
+  /** Number of gathers in progress at the leaf, for all roots, as of its last report. */
   reportedLoad = 0;
   reportedAt = -Infinity;
   private connection: MessageConnection | undefined;
@@ -101,7 +108,7 @@
     return this.gathers.size;
   }
 
-  /** Opens the connection, unless it is open or was lost a moment ago. */
+  /** Opens the connection unless it is open, being opened or in backoff. */
   connect(): void {
     const { clock } = this.options.environment;
     if (this.isOpen || this.isDialling || this.isClosed || clock.now() < this.redialAt) return;
@@ -114,7 +121,10 @@
     this.connection?.close();
   }
 
-  /** Closes a connection over which a gather has waited for too long; called now and then. */
+  /**
+   * Closes the connection when the oldest gather has waited too long for any message; called
+   * periodically.
+   */
   closeIfSilent(): void {
     const now = this.options.environment.clock.now();
     const [oldest] = this.gathers.values();
@@ -123,7 +133,7 @@
     if (now - silentSince > SILENCE_TIMEOUT_MS) this.connection?.close();
   }
 
-  /** Sends a gather; undefined while the connection is not open. */
+  /** Sends a gather; returns undefined while the connection is not open. */
   gather(call: GatherCall, listener: GatherListener): GatherHandle | undefined {
     const { connection } = this;
     if (connection === undefined) return undefined;
@@ -150,7 +160,7 @@
   }
 
   private sendFrame(connection: MessageConnection, frame: Uint8Array): void {
-    // A connection that broke ends the task that reads it, which ends its gathers.
+    // Ignored: a broken connection also ends the receive loop, which ends its gathers as lost.
     connection.send(frame).catch(() => undefined);
   }
 
@@ -176,7 +186,7 @@
     this.connection?.close();
     this.connection = undefined;
     this.scheduleRedial();
-    if (wasOpen && !this.isClosed) logger.info('leaf lost', { leaf: name, reason });
+    if (wasOpen && !this.isClosed) logger.info('connection to leaf lost', { leaf: name, reason });
     this.failGathers();
   }
 
@@ -225,11 +235,15 @@
         this.isStopping = true;
         return;
       default:
-        throw new MalformedMessageError('hear leaf', this.leaf.name, `unexpected ${message.kind}`);
+        throw new MalformedMessageError(
+          'receive from leaf',
+          this.leaf.name,
+          `unexpected message ${message.kind}`,
+        );
     }
   }
 
-  /** A report of a gather that was cancelled or has ended belongs to nobody. */
+  /** Ignores reports of gathers that were cancelled or have ended, except for the leaf's load. */
   private handleParts(message: PartsMessage): void {
     this.reportedLoad = message.gathersInProgress;
     this.reportedAt = this.lastReceivedAt;
@@ -247,7 +261,11 @@
     const { length } = message.records;
     const isValidLength = length % RECORD_BYTES === 0 && length <= gather.topRecords * RECORD_BYTES;
     if (signatures.length !== positions.length || !isValidLength) {
-      throw new MalformedMessageError('hear leaf', name, 'parts and records do not fit');
+      throw new MalformedMessageError(
+        'receive from leaf',
+        name,
+        'expected one signature per shard and whole records',
+      );
     }
     const shards = positions.map((position) => gather.shards[position] ?? '');
     return { shards, signatures, records: message.records };
--- a/src/aggregation/leaf-pool.ts
+++ b/src/aggregation/leaf-pool.ts
@@ -1,19 +1,19 @@
-/** All connections of a root to leaves, and the choice among them. */
+/** The links of a root to leaves, and load balancing among them. */
 import type { LeafGateway } from '../directory/leaf-gateway.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { LeafGroup } from './leaf-group.js';
 import { LeafLink, type LeafLinkOptions } from './leaf-link.js';
 
-/** Leaves of a group to which connections are kept open besides its owners: one that stands by. */
+/** Number of standbys of a group to which connections are kept open besides its owners. */
 const CONNECTED_STANDBYS = 1;
-/** What a leaf said of its load is used for this long. Milliseconds. */
+/** How long a leaf's reported load is used. */
 const LOAD_REPORT_VALIDITY_MS = 1_000;
-/** A leaf with so many gathers in progress is passed over while the next one has fewer. */
+/** Number of gathers in progress from which a leaf is avoided while another one has fewer. */
 const BUSY_GATHERS = 12;
-/** A leaf that was late or lost is passed over for this long. Milliseconds. */
+/** How long a leaf that was late or lost is avoided. */
 const AVOIDANCE_MS = 3_000;
 
-/** See the module comment. */
+/** Opens no connection by itself: the owner calls {@link updateConnections} periodically. */
 export class LeafPool {
   private readonly links = new Map<string, LeafLink>();
   private readonly avoidedUntil = new Map<string, number>();
@@ -23,12 +23,12 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   get openLinks(): number {
     return [...this.links.values()].filter(({ isOpen }) => isOpen).length;
   }
 
-  /** Opens connections to the leaves of the groups, and closes those that no group needs. */
+  /** Opens connections to the leaves of the groups, and closes idle ones that no group needs. */
   updateConnections(groups: readonly LeafGroup[]): void {
     const wanted = new Map<string, LeafGateway>();
     for (const { leaves, owners } of groups) {
@@ -49,16 +49,16 @@
     this.links.clear();
   }
 
-  /** The leaf did not answer in its usual time, or was lost: others are asked for a while. */
+  /** Prefers other leaves for a while, after the leaf was late or its connection was lost. */
   avoid(leaf: LeafGateway): void {
     const { clock } = this.linkOptions.environment;
     this.avoidedUntil.set(leaf.name, clock.now() + AVOIDANCE_MS);
   }
 
   /**
-   * One of the first usable leaves of the group that is not in `excluded`: of
-   * two drawn by chance, the one with fewer gathers from here. Undefined when no
-   * connection is open.
+   * Chooses among the first usable leaves of the group that are not in `excluded`: of two drawn at
+   * random, the one with fewer gathers in progress from this root. Returns undefined when no leaf
+   * has an open connection and accepts gathers.
    */
   choose(group: LeafGroup, excluded: ReadonlySet<string>): LeafLink | undefined {
     const open = group.leaves.flatMap(({ name }) => {
--- a/src/aggregation/leaf-server.ts
+++ b/src/aggregation/leaf-server.ts
@@ -1,4 +1,4 @@
-/** The leaf's end of connections from roots: runs their gathers, one task for each connection. */
+/** Serves the connections of roots at a leaf and runs their gathers. */
 import type { CallerRequest } from '../gateway/caller-request.js';
 import type { GatewayContext } from '../gateway/gateway-context.js';
 import type { PartListener } from '../gateway/part-source.js';
@@ -21,18 +21,21 @@
 import type { LeafSource } from './leaf-source.js';
 import type { RelayedCall } from './source-planner.js';
 
-/** More gathers at once are declined: a leaf that is so far behind helps nobody. */
+/**
+ * Limit of gathers in progress; more are declined, as a leaf this far behind could not help in
+ * time.
+ */
 const MAXIMUM_GATHERS = 256;
-/** Answers that a root has not taken yet; a connection with more is closed. Bytes. */
+/** Limit of bytes queued for a root; the connection is closed beyond it. */
 const MAXIMUM_QUEUED_BYTES = 4 * 1024 * 1024;
 
-/** What the server is made of. */
+/** Dependencies of {@link LeafServer}. */
 export interface LeafServerOptions {
   readonly context: GatewayContext;
   readonly logger: Logger;
-  /** The route table in force here; undefined before the first. */
+  /** The route table in force on this gateway; undefined before the first one. */
   readonly table: () => RouteTable | undefined;
-  /** Has the shards of a relay asked by leaves. */
+  /** Creates the source through which a relay has leaves query the shards. */
   readonly relay: (request: CallerRequest, call: RelayedCall, listener: PartListener) => LeafSource;
 }
 
@@ -42,10 +45,14 @@
   if (isObject && Object.values(value).every((item) => typeof item === 'string')) {
     return value as HttpHeaders;
   }
-  throw new MalformedMessageError('read headers', peer, 'not an object of texts');
+  throw new MalformedMessageError(
+    'read headers',
+    peer,
+    'expected a JSON object with string values',
+  );
 }
 
-/** One root's connection. */
+/** The connection of one root and its gathers in progress. */
 class RootSession {
   readonly gathers = new Map<number, LeafGather>();
 
@@ -56,26 +63,28 @@
 
   send(message: AggregationMessage): void {
     if (this.connection.queuedBytes > MAXIMUM_QUEUED_BYTES) this.connection.close();
-    // A connection that broke ends its task, which cancels the gathers.
+    // Ignored: a broken connection also ends `serve`, which cancels its gathers.
     this.connection.send(AGGREGATION_CODEC.encode(message)).catch(() => undefined);
   }
 }
 
-/** See the module comment. */
+/** Serves any number of roots; {@link serve} runs once per connection. */
 export class LeafServer {
   private readonly sessions = new Set<RootSession>();
   private isStopping = false;
 
   constructor(private readonly options: LeafServerOptions) {}
 
-  /** Gathers in progress, for all roots. */
+  /** Number of gathers in progress, for all roots. */
   get inProgress(): number {
     let count = 0;
     for (const { gathers } of this.sessions) count += gathers.size;
     return count;
   }
 
-  /** Serves one root until its connection ends; then nobody waits for its gathers any more. */
+  /**
+   * Serves one root until its connection ends, then cancels the root's gathers. Does not reject.
+   */
   async serve(connection: MessageConnection, peer: RemoteIdentity): Promise<void> {
     const session = new RootSession(connection, peer.name);
     this.sessions.add(session);
@@ -88,14 +97,17 @@
       }
     } catch (error) {
       const reason = String(error);
-      this.options.logger.warn('connection of a root broke', { root: peer.name, reason });
+      this.options.logger.warn('connection of root failed', { root: peer.name, reason });
     } finally {
       this.sessions.delete(session);
       for (const gather of [...session.gathers.values()]) gather.cancel('the root has gone');
     }
   }
 
-  /** Planned stop: roots send nothing new; gathers in progress go on. */
+  /**
+   * Starts draining: tells roots to send no new gathers and declines them; those in progress
+   * continue.
+   */
   stop(): void {
     this.isStopping = true;
     for (const session of this.sessions) session.send({ kind: 'stopping' });
@@ -122,7 +134,11 @@
       session.gathers.get(message.gatherId)?.grant();
       return;
     }
-    throw new MalformedMessageError('serve root', session.root, `unexpected ${message.kind}`);
+    throw new MalformedMessageError(
+      'serve root',
+      session.root,
+      `unexpected message ${message.kind}`,
+    );
   }
 
   private get declineReason(): string | undefined {
@@ -145,7 +161,11 @@
     const { gatherId, isRepeat, reportInMs } = message;
     const { totalShards } = request;
     if (session.gathers.has(gatherId)) {
-      throw new MalformedMessageError('serve root', session.root, 'a gather number is used twice');
+      throw new MalformedMessageError(
+        'serve root',
+        session.root,
+        'expected a new gather number, found one in use',
+      );
     }
     const shards = readStrings(message.shards, session.root, 'shards');
     const callerRequest = this.createCallerRequest(request, message, shards, session.root);
@@ -217,14 +237,17 @@
         shards,
         topRecords: request.topRecords,
       },
-      // Its headers already name it; keys and limits are looked at by the root alone.
+      // The headers already name the tenant; the root alone checks API keys and quotas.
       tenant: undefined,
       receivedAt: now - elapsedMs,
       deadline: now + leftMs,
     };
   }
 
-  /** As the root wrote it; a caller's own claim where the document names no tenants. */
+  /**
+   * Name of the tenant, from the header that the root set. Undefined when the document lists no
+   * tenants, as the header would then be the caller's own claim.
+   */
   private tenantNameOf(headers: HttpHeaders, { tenants }: RouteTable): string | undefined {
     return tenants === undefined ? undefined : headers[this.options.context.headers.tenant];
   }
--- a/src/aggregation/leaf-source.ts
+++ b/src/aggregation/leaf-source.ts
@@ -1,8 +1,11 @@
-/** Asks the shards of a gather at a leaf, or at a relay, which has leaves ask them. */
+/**
+ * Source of the parts of a gather: queries the shards directly at a leaf, through leaves at a
+ * relay.
+ */
 import type { PartSource } from '../gateway/part-source.js';
 
-/** See the module comment. */
+/** A part source whose hedges may have to wait for the root's grant. */
 export interface LeafSource extends PartSource {
-  /** Second sendings that were due and not allowed yet are allowed now. */
+  /** Sends the hedges that were due but not yet permitted. */
   hedge(): void;
 }
--- a/src/aggregation/relayed-gather.ts
+++ b/src/aggregation/relayed-gather.ts
@@ -1,9 +1,9 @@
-/** A relay's shards, asked by the leaves of its zone: several groups as one source. */
+/** Combines the groups of a relay's shards, queried by the leaves of its zone, into one source. */
 import type { LogFields } from '../observability/logger.js';
 import type { LeafSource } from './leaf-source.js';
 import type { GroupGather } from './group-gather.js';
 
-/** See the module comment. */
+/** Delegates to the groups; parts go from each group to the listener directly. */
 export class RelayedGather implements LeafSource {
   constructor(private readonly groups: readonly GroupGather[]) {}
 
@@ -15,7 +15,7 @@
     for (const group of this.groups) group.cancel(reason);
   }
 
-  /** The root has granted second sendings: what waits for that in any group goes on. */
+  /** Passes the root's grant on to all groups. */
   hedge(): void {
     for (const group of this.groups) group.handleGrant();
   }
--- a/src/aggregation/relayed-groups.ts
+++ b/src/aggregation/relayed-groups.ts
@@ -1,25 +1,31 @@
 /**
- * Joins groups of shards that are asked in one other zone into one, which a gateway of that zone
- * takes as a relay: it divides the shards among the leaves there and merges their reports. The
- * load that it answers: of the reports of separate groups nearly all records are dropped by the
- * root, after they have crossed between zones, and each group's request crosses once more.
+ * Merges the groups of shards of one remote zone into a single group for a relay. The relay, a
+ * gateway of that zone, divides the shards among the leaves there and merges their reports. This
+ * saves traffic between zones: with separate groups each group's request crosses between zones
+ * once more, and so do reports of which the root drops nearly all records.
  */
 import { rankFor, type LeafGateway } from '../directory/leaf-gateway.js';
 import type { RootLocation } from './zone-selection.js';
 import { SAME_ZONE_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
 
-/** A relay is one more gateway on the way: fewer groups are handed to their leaves directly. */
+/**
+ * Minimum number of groups for a relay, which costs one more hop; fewer groups go directly to their
+ * leaves.
+ */
 const MINIMUM_RELAYED_GROUPS = 3;
 
-/** What groups are joined by. */
+/** The root and the gateways to choose the relay from. */
 export interface RelayOptions {
   readonly root: RootLocation;
-  /** Zones in the root's order of preference. */
+  /** Zones in the root's order of preference; see `zone-selection.ts`. */
   readonly rankedZones: readonly string[];
   readonly leaves: readonly LeafGateway[];
 }
 
-/** `groups` with those of another zone than the root's joined, where they are many. */
+/**
+ * Returns `groups`, with those of each remote zone merged where they are at least {@link
+ * MINIMUM_RELAYED_GROUPS}.
+ */
 export function mergeRemoteGroups(
   groups: readonly LeafGroup[],
   options: RelayOptions,
@@ -37,7 +43,7 @@
   members: readonly LeafGroup[],
   { root, rankedZones, leaves }: RelayOptions,
 ): LeafGroup {
-  // By the root's name: every leaf of the zone relays for some roots.
+  // Ranked by the root's name, so that every leaf of the zone relays for some roots.
   const ranked = rankFor(root.name, leaves, ({ name }) => name);
   const local = ranked.filter((leaf) => leaf.zone === zone);
   const remote = ranked.filter((leaf) => leaf.zone !== zone && leaf.zone !== root.zone);
@@ -50,7 +56,7 @@
     shards: members.flatMap(({ shards }) => shards),
     isRelayed: true,
     owners: owners.length,
-    // The first to stand by is of another zone: this one may be lost as a whole.
+    // The first standby is in another zone, as the relay's zone may fail as a whole.
     leaves: [
       ...owners,
       ...(standby === undefined ? [] : [standby]),
--- a/src/aggregation/source-planner.ts
+++ b/src/aggregation/source-planner.ts
@@ -1,7 +1,7 @@
 /**
- * Decides who asks the shards of a request: this gateway all of them, or leaves
- * in groups, when there are so many that asking them one after the other from
- * here would take too long.
+ * Decides which gateways query the shards of a request: this gateway queries all of them, or
+ * leaves query them in groups when there are so many that sending all requests from one gateway
+ * would take too long.
  */
 import type { CallerRequest } from '../gateway/caller-request.js';
 import type { PartListener, PartSource } from '../gateway/part-source.js';
@@ -13,36 +13,36 @@
 import type { LeafSource } from './leaf-source.js';
 import { RelayedGather } from './relayed-gather.js';
 
-/** What the planner goes by. */
+/** Dependencies and settings of {@link SourcePlanner}. */
 export interface SourcePlannerOptions extends GroupGatherContext {
   readonly assignment: LeafAssignment;
   /** Requests to more shards than this are divided; Infinity divides none. */
   readonly divideAbove: number;
 }
 
-/** What a relay was asked, besides the request. */
+/** Terms under which a relay has the shards queried. */
 export interface RelayedCall {
   readonly shards: readonly string[];
   readonly totalShards: number;
-  /** As the root encoded it. */
+  /** The caller's request as an encoded `RequestMessage`. */
   readonly encodedRequest: Uint8Array;
   readonly isRepeat: boolean;
-  /** When the relay reports to the root. Clock reading. */
+  /** When the relay must report to the root. Clock reading. */
   readonly reportAt: number;
-  /** Whether the root has granted second sendings; asks for the grant where it has not. */
+  /** Whether the root has granted further attempts; requests the grant when it has not. */
   readonly maySendAgain: () => boolean;
 }
 
-/** Shards that are asked from here, as no leaf is known. */
+/** A single group without leaves, which this gateway queries itself. */
 function undividedGroup(shards: readonly string[]): LeafGroup {
   return { zone: '', shards, isRelayed: false, owners: 0, leaves: [] };
 }
 
-/** See the module comment. */
+/** Plans for requests of callers ({@link plan}) and of other roots ({@link relay}). */
 export class SourcePlanner {
   constructor(private readonly options: SourcePlannerOptions) {}
 
-  /** Whether a request to the shards is divided when leaves are known. */
+  /** Whether requests to the shards are divided, provided that leaves are known. */
   isDivided(shards: readonly string[]): boolean {
     return shards.length > this.options.divideAbove;
   }
@@ -54,11 +54,11 @@
   ): readonly PartSource[] {
     const { rootContext, assignment } = this.options;
     const totalShards = shards.length;
-    // Only what may run twice may be given to a leaf that can be lost.
+    // A leaf may be lost after it sent the request, so only repeatable requests are divided.
     const isRepeatable = request.route.execution === 'repeatable';
-    // A leaf of another region must not see a request that is to stay in some.
+    // A request restricted to certain regions must not reach a leaf of another region.
     const isUnrestricted = !rootContext.regions.restricts(request.route);
-    // Where it is tried on one replica alone, one gateway has to see what becomes of it.
+    // A suspected request is tried on a single replica, and one gateway has to see the outcome.
     const isSuspected = rootContext.crashGuard.isSuspected(request.fingerprint);
     const mayDivide = isRepeatable && isUnrestricted && !isSuspected && this.isDivided(shards);
     const groups = mayDivide ? assignment.groupsOf(shards) : [];
@@ -73,7 +73,7 @@
     );
   }
 
-  /** Has the shards that a root gave to this gateway as a relay asked by leaves. */
+  /** Creates the source that has leaves query the shards which a root assigned to this relay. */
   relay(request: CallerRequest, call: RelayedCall, listener: PartListener): LeafSource {
     const { shards, ...options } = call;
     const groups = this.groupsContaining(request, shards).map(
@@ -82,7 +82,10 @@
     return new RelayedGather(groups);
   }
 
-  /** By the groups of the list that the shards are of, which are known: to divide a list takes long. */
+  /**
+   * Takes the groups of the list that contains the shards, as these are cached and dividing a list
+   * is slow.
+   */
   private groupsContaining(
     request: CallerRequest,
     shards: readonly string[],
--- a/src/aggregation/zone-selection.ts
+++ b/src/aggregation/zone-selection.ts
@@ -1,11 +1,11 @@
 /**
- * Chooses the zone whose gateways ask a shard for a root, so that few bytes pass between zones.
- * The load that it answers: a request to many shards needs an answer of each, and a shard that is
- * asked in another zone costs bytes between zones for the request and for the answer.
+ * Selects the zone whose gateways query a shard for a root, to reduce traffic between zones. A
+ * large fan-out needs an answer from every shard, and for a shard queried in another zone both the
+ * request and the answer cross between zones.
  */
 import { rankFor } from '../directory/leaf-gateway.js';
 
-/** Where a root stands. */
+/** Identifies a root and its zone. */
 export interface RootLocation {
   /** Name of the gateway. */
   readonly name: string;
@@ -13,9 +13,9 @@
 }
 
 /**
- * The zones in the order in which a root prefers them: its own, then the others by chance of its
- * name, so that the roots of a zone divide over the others what it lacks. One order for all
- * shards: what a root asks far is asked in few zones.
+ * Ranks `zones` for a root: its own zone first, the others by a hash of its name, so that the roots
+ * of a zone spread remote shards over the other zones. The order is the same for all shards, so
+ * that a root queries remote shards in few zones.
  */
 export function rankZones({ name, zone }: RootLocation, zones: readonly string[]): string[] {
   const others = zones.filter((other) => other !== zone);
@@ -23,7 +23,7 @@
   return zones.includes(zone) ? [zone, ...ranked] : ranked;
 }
 
-/** The first of the `preferred` zones that is among `holders`; the first of all when none is. */
+/** Returns the first ranked zone with a replica, or the first ranked zone when none has one. */
 export function selectZone(
   rankedZones: readonly string[],
   replicaZones: ReadonlySet<string>,
--- a/src/evacuations/zone-evacuation.ts
+++ b/src/evacuations/zone-evacuation.ts
@@ -5,6 +5,9 @@
   readonly zone: string;
   /** True while the zone's replicas must not receive new requests. */
   readonly isEvacuated: boolean;
-  /** Counter over all zones, incremented by each order that changes a zone; the higher one is the later. */
+  /**
+   * Counter over all zones, incremented by each order that changes a zone; the higher one is the
+   * later.
+   */
   readonly revision: number;
 }
--- a/src/routes/read-route-document.ts
+++ b/src/routes/read-route-document.ts
@@ -57,7 +57,9 @@
   return problems;
 }
 
-/** Position of a JSON syntax error. The error's own message quotes text that may contain an API key. */
+/**
+ * Position of a JSON syntax error. The error's own message quotes text that may contain an API key.
+ */
 function locateJsonError({ message }: Error): string {
   return /at position \d+/.exec(message)?.[0] ?? 'somewhere';
 }
--- a/src/routes/route-document-register.ts
+++ b/src/routes/route-document-register.ts
@@ -85,7 +85,9 @@
     this.replace(storedDocumentType.decode(asBuffer(snapshot)));
   }
 
-  /** Copies the content: the decoded bytes are a view that would retain the whole message buffer. */
+  /**
+   * Copies the content: the decoded bytes are a view that would retain the whole message buffer.
+   */
   private replace({ version, content }: StoredRouteDocument): void {
     this.document = { version, content: Uint8Array.from(content) };
     this.emit(this.document);
--- a/src/routes/route-document.ts
+++ b/src/routes/route-document.ts
@@ -36,7 +36,10 @@
   targetLatencyMs: durationSchema.optional(),
   /** Priority under overload; 0 is the highest. */
   priority: z.int().min(0).default(0),
-  /** Maximum number of replicas to which one request may be sent; applies per shard on fan-out routes. */
+  /**
+   * Maximum number of replicas to which one request may be sent; applies per shard on fan-out
+   * routes.
+   */
   maximumAttempts: z.int().min(1).default(1),
   /** Whether requests are exempt from API keys when the document lists tenants. */
   public: z.boolean().default(false),
@@ -79,7 +82,10 @@
   burst: z.number().min(0).default(0),
 });
 
-/** Limits on callers: size of a request (bytes), time to send its headers and to idle (milliseconds). */
+/**
+ * Limits on callers: size of a request (bytes), time to send its headers and to idle
+ * (milliseconds).
+ */
 const limitsSchema = z.object({
   maximumHeaderBytes: z.int().min(1).default(16_384),
   maximumBodyBytes: z.int().min(0).default(1_048_576),
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -28,7 +28,9 @@
   return shards.join('\n');
 }
 
-/** Returns each distinct shard list once, reusing the equal list of `previous` where there is one. */
+/**
+ * Returns each distinct shard list once, reusing the equal list of `previous` where there is one.
+ */
 function deduplicateShardLists(
   routes: readonly Route[],
   previous: ShardListsByKey,
@@ -109,7 +111,9 @@
     return routes?.find(({ pathPrefix }) => path.startsWith(pathPrefix));
   }
 
-  /** Whether a route lists the service as a shard; also true for services that the document lacks. */
+  /**
+   * Whether a route lists the service as a shard; also true for services that the document lacks.
+   */
   isShard(name: string): boolean {
     return this.shards.has(name) || !this.services.has(name);
   }
--- a/src/routes/version-history.ts
+++ b/src/routes/version-history.ts
@@ -4,7 +4,9 @@
  * that the peer lacks; later versions do not reset it.
  */
 
-/** Versions that become known within this time share an entry, which has the time of the first one. */
+/**
+ * Versions that become known within this time share an entry, which has the time of the first one.
+ */
 const ENTRY_SPAN_MS = 50;
 /** Entries that are kept: covers half a minute of continuous changes. */
 const MAXIMUM_ENTRIES = 600;
