--- a/test/aggregation/fan-out-tree.test.ts
+++ b/test/aggregation/fan-out-tree.test.ts
@@ -9,9 +9,9 @@
 const SHARDS = ['shard-a', 'shard-b', 'shard-c', 'shard-d', 'shard-e', 'shard-f'];
 const ROUTE = { pathPrefix: '/q/', shards: SHARDS, topRecords: 3, requiredCoverage: 0.6 };
 const AGGREGATION = { divideAbove: 3, shardsPerGroup: 2 };
-/** In which gateways connect to each other. Milliseconds. */
+/** Time for gateways to connect to each other. Milliseconds. */
 const CONNECT_MS = 2_000;
-/** Callers and links take some milliseconds beyond the target. */
+/** Target latency of the route, to which callers and links add some milliseconds. */
 const TARGET_MS = 200;
 
 function record(text: string): string {
@@ -58,7 +58,7 @@
   return { harness, replicas };
 }
 
-/** Replicas that ran a request, of each shard; a replica counts once. */
+/** Number of replicas that ran a request, by shard; a replica counts once. */
 function replicasOf(replicas: readonly ExchangeReplica[], requestId: string): Map<string, number> {
   const counts = new Map<string, number>();
   for (const { options, runs } of replicas) {
@@ -68,7 +68,7 @@
   return counts;
 }
 
-/** Requests that a gateway sent to replicas. */
+/** Number of attempts that a gateway sent to replicas. */
 async function attemptsOf({ registry }: OtherGateway): Promise<number> {
   const metric = await registry.getSingleMetric('driftway_gateway_attempts_total')?.get();
   return (metric?.values ?? []).reduce((sum, { value }) => sum + value, 0);
@@ -83,15 +83,15 @@
   expect(textOf(answer)).toBe(record('z shard-f') + record('z shard-e') + record('z shard-d'));
 }
 
-describe('a fan-out divided among gateways', () => {
-  it('gives the same answer as one that is not', async () => {
+describe('a fan-out that is divided among gateways', () => {
+  it('returns the same answer as one that is not divided', async () => {
     for (const aggregation of [true, false]) {
       const { harness } = await start({ aggregation });
       expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
     }
   });
 
-  it('has the replicas asked by other gateways, once each', async () => {
+  it('has other gateways send most attempts, with one attempt per shard', async () => {
     const { harness, replicas } = await start();
     const calls = 10;
     for (let call = 0; call < calls; call += 1) await harness.call({ path: '/q/1' });
@@ -101,14 +101,14 @@
     expect(attempts.reduce((sum, count) => sum + count, 0)).toBeGreaterThan(sends / 2);
   });
 
-  it('is divided also by a gateway that takes no gathers itself', async () => {
+  it('is divided also by a root that does not act as a leaf', async () => {
     const { harness } = await start({ takesGathers: false });
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
     const attempts = await Promise.all(harness.others.map(attemptsOf));
     expect(attempts.reduce((sum, count) => sum + count, 0)).toBe(SHARDS.length);
   });
 
-  it('tells replicas no more time than the caller has left', async () => {
+  it('sends replicas no deadline later than that of the caller', async () => {
     const { harness, replicas } = await start();
     await harness.call({ path: '/q/1', deadlineMs: 700 });
     const deadlines = replicas.flatMap(({ runs }) => runs.map(({ deadlineMs }) => deadlineMs));
@@ -116,7 +116,7 @@
     for (const deadline of deadlines) expect(deadline).toBeLessThanOrEqual(700);
   });
 
-  it('answers without late shards when there are enough, before the target', async () => {
+  it('answers before the target latency without late shards when the coverage suffices', async () => {
     const { harness, replicas } = await start();
     const slow = replicas.filter(({ options }) => options.service === 'shard-b');
     for (const replica of slow) replica.workMs = 1_000;
@@ -128,7 +128,7 @@
     expect(clock.now() - begunAt).toBeLessThan(TARGET_MS);
   });
 
-  it('delivers shards that come late when there are too few without them', async () => {
+  it('waits for late shards when the coverage does not suffice without them', async () => {
     const { harness, replicas } = await start();
     for (const replica of replicas) replica.workMs = 400;
     const answer = await harness.call({ path: '/q/1' });
@@ -139,21 +139,24 @@
     ['loses power', (leaf: OtherGateway) => leaf.machine.crash({ power: true })],
     ['is killed', (leaf: OtherGateway) => leaf.machine.crash()],
     ['freezes', (leaf: OtherGateway) => leaf.machine.freeze(5_000)],
-  ])('is whole and within the attempts when a leaf %s in its midst', async (_, fail) => {
-    const { harness, replicas } = await start({ others: 4 });
-    for (const replica of replicas) replica.workMs = 30;
-    for (const [index, leaf] of harness.others.slice(0, 2).entries()) {
-      const id = `victim-${index}`;
-      const sent = harness.send({ path: '/q/1', id });
-      await harness.simulation.runFor(10);
-      fail(leaf);
-      expectWhole(await harness.simulation.settle(sent), id);
-      await harness.simulation.runFor(6_000);
-      for (const count of replicasOf(replicas, id).values()) expect(count).toBeLessThanOrEqual(2);
-    }
-  });
-
-  it('is whole when a leaf cannot be reached, and later one cannot reach the root', async () => {
+  ])(
+    'returns a complete answer within the attempt limit when a leaf %s during the request',
+    async (_, fail) => {
+      const { harness, replicas } = await start({ others: 4 });
+      for (const replica of replicas) replica.workMs = 30;
+      for (const [index, leaf] of harness.others.slice(0, 2).entries()) {
+        const id = `victim-${index}`;
+        const sent = harness.send({ path: '/q/1', id });
+        await harness.simulation.runFor(10);
+        fail(leaf);
+        expectWhole(await harness.simulation.settle(sent), id);
+        await harness.simulation.runFor(6_000);
+        for (const count of replicasOf(replicas, id).values()) expect(count).toBeLessThanOrEqual(2);
+      }
+    },
+  );
+
+  it('returns a complete answer when a leaf is unreachable, or cannot reach the root', async () => {
     const { harness } = await start();
     const { simulation, machine } = harness;
     const [leaf] = harness.others;
@@ -165,17 +168,17 @@
     expectWhole(await harness.call({ path: '/q/1', id: 'two' }), 'two');
   });
 
-  it('is served by the gateway alone when there is no other', async () => {
+  it('is served by the root alone when there is no other gateway', async () => {
     const { harness } = await start({ others: 0 });
     expectWhole(await harness.call({ path: '/q/1', id: 'alone' }), 'alone');
   });
 
-  it('stops the work at the replicas when the caller goes', async () => {
+  it('sends replicas nothing more after the caller has disconnected', async () => {
     const { harness, replicas } = await start();
     await expectStopWhenCallerGoes(harness, replicas);
   });
 
-  it('gives a stopping leaf nothing new, and loses nothing that it has', async () => {
+  it('sends no new gathers to a draining leaf, and loses none in progress', async () => {
     const { harness, replicas } = await start();
     for (const replica of replicas) replica.workMs = 100;
     const first = harness.send({ path: '/q/1', id: 'first' });
@@ -188,7 +191,7 @@
     expectWhole(await harness.call({ path: '/q/1', id: 'third' }), 'third');
   });
 
-  it('states failed shards as missing, and never that nothing was run', async () => {
+  it('never answers that nothing was run when too many shards time out', async () => {
     const { harness, replicas } = await start();
     const lost = replicas.filter(({ options }) => /shard-[abcd]/.test(options.service));
     for (const replica of lost) replica.workMs = 100_000;
@@ -196,13 +199,13 @@
     expect([502, 504]).toContain(answer.status);
   });
 
-  it('keeps each request within its attempts when a leaf goes on after another was asked', async () => {
+  it('stays within the attempt limit when a leaf resumes after another one was tried', async () => {
     const { harness, replicas } = await start({ others: 4 });
     for (const replica of replicas) replica.workMs = 400;
     for (let call = 0; call < 8; call += 1) {
       const sent = harness.send({ path: '/q/1', id: `id-${call}` });
       await harness.simulation.runFor(20);
-      // Longer than the root waits for a first report, and shorter than the request takes.
+      // Longer than the root waits for a first report, but shorter than the request takes.
       for (const { machine } of harness.others.slice(0, 2)) machine.freeze(150);
       await harness.simulation.settle(sent);
       await harness.simulation.runFor(CONNECT_MS);
@@ -211,7 +214,7 @@
     }
   });
 
-  it('keeps each request within its attempts while replicas lose answers', async () => {
+  it('stays within the attempt limit while a third of the replicas is slow', async () => {
     const { harness, replicas } = await start();
     for (const [index, replica] of replicas.entries()) {
       if (index % 3 === 0) replica.workMs = 500;
--- a/test/aggregation/gone-caller.ts
+++ b/test/aggregation/gone-caller.ts
@@ -1,12 +1,15 @@
-/** Checks that a fan-out stops when its caller goes. */
+/** Shared check that a fan-out stops when its caller disconnects. */
 import { expect } from 'vitest';
 import type { ExchangeReplica } from '../../lab/exchange/exchange-replica.js';
 import type { GatewayHarness } from '../gateway/gateway-harness.js';
 
-/** How long replicas work on a request that is given up. Milliseconds. */
+/** Time that replicas take for a request whose caller disconnects. Milliseconds. */
 const WORK_MS = 1_000;
 
-/** The caller of a request to many shards goes: after a while replicas are sent nothing more. */
+/**
+ * Sends a request to many shards, disconnects its caller, and expects that no further request
+ * arrives at a replica once the cancellation has had time to spread.
+ */
 export async function expectStopWhenCallerGoes(
   harness: GatewayHarness,
   replicas: readonly ExchangeReplica[],
--- a/test/aggregation/group-gather.test.ts
+++ b/test/aggregation/group-gather.test.ts
@@ -3,13 +3,13 @@
 
 const SHARDS = ['a', 'b'];
 
-/** What a leaf's link calls back; see `LeafLink.gather`. */
+/** Callbacks of a gather that the tests call; see `LeafLink.gather`. */
 interface LeafCallbacks {
   readonly onDeclined: (reason: string) => void;
   readonly onLost: () => void;
 }
 
-/** A leaf that notes that it was asked, and does what the test says. */
+/** Stands in for a `LeafLink`: records the callbacks of the gather, for the test to call. */
 class FakeLink {
   readonly leaf: { readonly name: string };
   callbacks: LeafCallbacks | undefined;
@@ -24,8 +24,8 @@
   }
 }
 
-/** A gather over `links`, asked in their order; `mayRepeat` stands for the root's grant. */
-function gatherOver(links: readonly FakeLink[], mayRepeat: { isGranted: boolean }) {
+/** Creates a gather that tries `links` in order; `secondAttempts` stands for the root's grant. */
+function gatherOver(links: readonly FakeLink[], secondAttempts: { isGranted: boolean }) {
   const failed: string[] = [];
   const context = {
     environment: { clock: { now: () => 0, setTimer: () => ({ cancel: () => undefined }) } },
@@ -36,7 +36,7 @@
     choose: (_group: unknown, asked: ReadonlySet<string>) =>
       links.find(({ leaf }) => !asked.has(leaf.name)),
   };
-  const latencies = { patience: () => 50 };
+  const latencies = { reportTimeoutMs: () => 50 };
   const parts = { rootContext: context, leafContext: context, ownName: 'root', pool, latencies };
   const request = {
     route: { maximumAttempts: 3, targetLatencyMs: 100 },
@@ -48,7 +48,7 @@
     group,
     totalShards: SHARDS.length,
     encodedRequest: new Uint8Array(),
-    maySendAgain: () => mayRepeat.isGranted,
+    maySendAgain: () => secondAttempts.isGranted,
   };
   const listener = {
     onParts: () => undefined,
@@ -58,22 +58,22 @@
   return { gather, failed };
 }
 
-describe('a group of shards whose leaf is lost before it reported', () => {
-  it('goes on to a third leaf when the second one declines after the grant', () => {
+describe('a GroupGather whose leaf is lost before its first report', () => {
+  it('tries a third leaf when the second one declines after the grant', () => {
     const links = ['first', 'second', 'third'].map((name) => new FakeLink(name));
-    const mayRepeat = { isGranted: false };
-    const { gather } = gatherOver(links, mayRepeat);
+    const secondAttempts = { isGranted: false };
+    const { gather } = gatherOver(links, secondAttempts);
     const [first, second, third] = links as [FakeLink, FakeLink, FakeLink];
     gather.start();
     first.callbacks?.onLost();
     expect(second.callbacks).toBeUndefined();
-    mayRepeat.isGranted = true;
+    secondAttempts.isGranted = true;
     gather.handleGrant();
     second.callbacks?.onDeclined('stopping');
     expect(third.callbacks).toBeDefined();
   });
 
-  it('counts as offered: replicas may have been asked', () => {
+  it('counts as offered, as replicas may have received the request', () => {
     const [first, second] = [new FakeLink('first'), new FakeLink('second')];
     const { gather } = gatherOver([first, second], { isGranted: false });
     gather.start();
--- a/test/aggregation/in-memory-connection.ts
+++ b/test/aggregation/in-memory-connection.ts
@@ -1,7 +1,7 @@
-/** Two ends of a message connection within one process. */
+/** A message connection between two ends in the same process, for tests. */
 import type { MessageConnection } from '../../src/seams/message-connection.js';
 
-/** One end; frames that are sent arrive at the other one. */
+/** One end of a connection; frames sent on it arrive at the other end. */
 export class InMemoryConnection implements MessageConnection {
   readonly peer = 'in memory';
   readonly queuedBytes = 0;
@@ -18,7 +18,7 @@
     });
   }
 
-  /** Both ends of a new connection. */
+  /** Creates a connection and returns both ends. */
   static pair(): readonly [InMemoryConnection, InMemoryConnection] {
     const [left, right] = [new InMemoryConnection(), new InMemoryConnection()];
     left.other = right;
--- a/test/aggregation/leaf-assignment.test.ts
+++ b/test/aggregation/leaf-assignment.test.ts
@@ -15,7 +15,7 @@
   })),
 );
 
-/** Replicas of shard n in the zones n and n + 1. */
+/** Zones of a shard's replicas: shard n has replicas in the zones n and n + 1, modulo 3. */
 function zonesOf(shard: string): string[] {
   const number = Number(shard.split('-')[1]);
   return [ZONES[number % 3] ?? '', ZONES[(number + 1) % 3] ?? ''];
@@ -34,13 +34,13 @@
 }
 
 describe('the division of shards among leaves', () => {
-  it('puts every shard into one group, none longer than allowed', () => {
+  it('puts every shard into exactly one group, none above the maximum size', () => {
     const groups = createAssignment(LEAVES).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards).sort()).toEqual([...SHARDS].sort());
     for (const { shards } of groups) expect(shards.length).toBeLessThanOrEqual(8);
   });
 
-  it('gives a group to leaves of a zone with replicas of each of its shards', () => {
+  it('assigns a group to leaves of a zone with replicas of each of its shards', () => {
     for (const { shards, leaves } of createAssignment(LEAVES).groupsOf(SHARDS)) {
       for (const { zone } of leaves.slice(0, GROUP_OWNERS)) {
         for (const shard of shards) expect(zonesOf(shard)).toContain(zone);
@@ -48,37 +48,37 @@
     }
   });
 
-  it('gives no leaf two groups while there are enough leaves', () => {
+  it('makes no leaf the owner of two groups while there are enough leaves', () => {
     const owners = ownersOf(LEAVES);
     expect(new Set(owners).size).toBe(owners.length);
   });
 
-  it('is the same at gateways that are told of the leaves in another order', () => {
+  it('does not depend on the order of the leaves', () => {
     const other = [...LEAVES].reverse();
     expect(createAssignment(other).groupsOf(SHARDS)).toEqual(
       createAssignment(LEAVES).groupsOf(SHARDS),
     );
   });
 
-  it('moves few groups when a leaf goes', () => {
+  it('replaces only the lost leaf as an owner', () => {
     const before = ownersOf(LEAVES);
     const [gone] = before;
     const after = ownersOf(LEAVES.filter(({ name }) => name !== gone));
     expect(before.filter((name) => !after.includes(name))).toEqual([gone]);
   });
 
-  it('uses leaves of other zones where a zone with replicas has none', () => {
+  it('uses leaves of other zones where no zone with replicas has leaves', () => {
     const far = LEAVES.filter(({ zone }) => zone === 'c');
     const groups = createAssignment(far).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards)).toHaveLength(SHARDS.length);
   });
 
-  it('has no groups while no leaf is known', () => {
+  it('is empty while no leaf is known', () => {
     expect(createAssignment([]).groupsOf(SHARDS)).toEqual([]);
   });
 });
 
-/** Replicas of each shard in all zones. */
+/** Zones of a shard's replicas when every zone has one. */
 function everywhere(): string[] {
   return ZONES;
 }
@@ -94,8 +94,8 @@
   return new LeafAssignment({ ...parts, sameZoneAs });
 }
 
-describe('the division of shards among leaves of the own zone', () => {
-  it.each(ZONES)('asks leaves of zone %s for callers of that zone', (zone) => {
+describe("the division of shards among leaves of the root's zone", () => {
+  it.each(ZONES)('assigns all shards of a root in zone %s to leaves of that zone', (zone) => {
     const groups = createSameZoneAssignment({ name: 'root', zone }).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards).sort()).toEqual([...SHARDS].sort());
     for (const { leaves, owners } of groups) {
@@ -111,7 +111,7 @@
     expect(one?.groupsOf(SHARDS)).toEqual(other?.groupsOf(SHARDS));
   });
 
-  it('gives a zone without replicas the groups and leaves of one that holds them', () => {
+  it('gives a root in a zone without replicas the groups and leaves of a zone with replicas', () => {
     const leaves = [...LEAVES, { name: 'd-0', zone: 'd', address: '10.0.1.0:1' }];
     const far = createSameZoneAssignment({ name: 'root', zone: 'd' }, leaves).directGroupsOf(
       SHARDS,
@@ -124,7 +124,7 @@
     );
   });
 
-  it('gives a zone without replicas one relay, and another zone to stand by', () => {
+  it('gives a root in a zone without replicas one relay, and a standby in another zone', () => {
     const leaves = [...LEAVES, { name: 'd-0', zone: 'd', address: '10.0.1.0:1' }];
     const [relayed, ...others] = createSameZoneAssignment(
       { name: 'root', zone: 'd' },
@@ -139,7 +139,7 @@
     expect(third).not.toBe('d');
   });
 
-  it('moves one shard alone when the zone loses its replica of it', () => {
+  it('moves only the shard whose replica the zone has lost', () => {
     const holders = (shard: string): string[] => (shard === 'shard-7' ? ['b', 'c'] : ZONES);
     const place = { name: 'root', zone: 'a' };
     const before = createSameZoneAssignment(place).directGroupsOf(SHARDS);
@@ -152,7 +152,7 @@
     expect(far.map(({ shards }) => shards)).toEqual([['shard-7']]);
   });
 
-  it('gives a relay the shards of which the zone holds no replica, where they are many', () => {
+  it('assigns the shards without a replica in the zone to a relay when they are many', () => {
     const place = { name: 'root', zone: 'a' };
     const lacksEachFourth = (shard: string): string[] =>
       Number(shard.split('-')[1]) % 4 === 0 ? ['b', 'c'] : ZONES;
@@ -165,7 +165,7 @@
     expect(groups.flatMap(({ shards }) => shards).sort()).toEqual([...SHARDS].sort());
   });
 
-  it('uses another zone where the own one has no leaves', () => {
+  it('uses other zones when the zone of the root has no leaves', () => {
     const leaves = LEAVES.filter(({ zone }) => zone !== 'a');
     const groups = createSameZoneAssignment({ name: 'root', zone: 'a' }, leaves).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards)).toHaveLength(SHARDS.length);
--- a/test/aggregation/leaf-server.test.ts
+++ b/test/aggregation/leaf-server.test.ts
@@ -45,14 +45,14 @@
   readonly ended: Promise<void>;
 }
 
-/** A leaf that has no route document yet. */
+/** Serves a connection at a leaf that has no route document yet. */
 function serve(): Served {
   const context = { metrics: new GatewayMetrics(new Registry()) } as GatewayContext;
   const server = new LeafServer({
     context,
     logger: SILENT_LOGGER,
     table: () => undefined,
-    relay: () => expect.fail('nothing is begun'),
+    relay: () => expect.fail('no gather may start without a route document'),
   });
   const [root, leaf] = InMemoryConnection.pair();
   return { root, server, ended: server.serve(leaf, PEER).finally(() => leaf.close()) };
@@ -64,7 +64,7 @@
 }
 
 describe('a leaf', () => {
-  it('declines what it cannot begin, and goes on', async () => {
+  it('declines a gather that it cannot start, and continues to serve the connection', async () => {
     const { root } = serve();
     await root.send(AGGREGATION_CODEC.encodeBatch([REQUEST, GATHER]));
     expect(await receive(root)).toMatchObject({ kind: 'declined', gatherId: 1 });
@@ -72,7 +72,7 @@
     expect(await receive(root)).toMatchObject({ kind: 'declined', gatherId: 2 });
   });
 
-  it('tells roots that it stops, also those that connect later', async () => {
+  it('announces that it is draining, also to roots that connect later', async () => {
     const { root, server } = serve();
     server.stop();
     expect(await receive(root)).toEqual({ kind: 'stopping' });
@@ -81,7 +81,7 @@
     expect(await receive(late)).toEqual({ kind: 'stopping' });
   });
 
-  it('takes a cancel and a grant of a gather that it does not have for nothing', async () => {
+  it('ignores a cancel and a grant for an unknown gather', async () => {
     const { root } = serve();
     await root.send(AGGREGATION_CODEC.encode({ kind: 'cancel', gatherId: 7 }));
     await root.send(AGGREGATION_CODEC.encode({ kind: 'grant', gatherId: 7 }));
@@ -90,9 +90,9 @@
   });
 
   it.each([
-    ['bytes that are no message', Buffer.from([255, 1, 2])],
+    ['bytes that are not a message', Buffer.from([255, 1, 2])],
     ['a gather without a request', AGGREGATION_CODEC.encode(GATHER)],
-    ['a message that only leaves send', AGGREGATION_CODEC.encode({ kind: 'stopping' })],
+    ['a message of a kind that only leaves send', AGGREGATION_CODEC.encode({ kind: 'stopping' })],
   ])('closes the connection after %s', async (_, frame) => {
     const { root, ended } = serve();
     await root.send(frame);
--- a/test/aggregation/near-groups.test.ts
+++ b/test/aggregation/near-groups.test.ts
@@ -10,17 +10,17 @@
 const ROUTE = { pathPrefix: '/q/', shards: SHARDS, topRecords: 3, requiredCoverage: 0.6 };
 const AGGREGATION = { divideAbove: 3, shardsPerGroup: 2, nearGroups: true };
 const REPLICA_ZONES = ['north', 'east', 'south'];
-/** No replica is there. */
+/** Zone with gateways but no replicas. */
 const BARE_ZONE = 'west';
-/** Of the gateways besides the root: three in each zone. */
+/** Zones of the gateways besides the root: three gateways in each zone. */
 const OTHER_ZONES = [...REPLICA_ZONES, BARE_ZONE].flatMap((zone) => [zone, zone, zone]);
-/** In which gateways connect to each other. Milliseconds. */
+/** Time for gateways to connect to each other. Milliseconds. */
 const CONNECT_MS = 2_000;
-/** After which a gateway may use its whole share of second sends. Milliseconds. */
+/** Time after which a gateway may use its whole share of the retry budget. Milliseconds. */
 const BUDGET_MS = 12_000;
-/** Until after a relay reports what it has, for a target of 200 ms. Milliseconds. */
+/** Work time that ends after a relay's report, for a target latency of 200 ms. Milliseconds. */
 const LATE_WORK_MS = 165;
-/** Longer than gateways take to notice what was lost. Milliseconds. */
+/** Longer than gateways take to detect a loss. Milliseconds. */
 const NOTICE_MS = 6_000;
 
 interface Fleet {
@@ -32,7 +32,7 @@
   return text.padEnd(16, '.');
 }
 
-/** `lacks` says which shards have no replica in a zone. */
+/** Starts a fleet; `lacks` returns whether a shard has no replica in a zone. */
 async function start(
   rootZone: string,
   lacks: (shard: string, zone: string) => boolean = () => false,
@@ -65,7 +65,7 @@
   expect(textOf(answer)).toBe(record('z shard-f') + record('z shard-e') + record('z shard-d'));
 }
 
-/** Replicas that ran a request; a replica counts once. */
+/** Replicas that ran a request, each once. */
 function ranOf(replicas: readonly ExchangeReplica[], id: string): readonly ExchangeReplica[] {
   return replicas.filter(({ runs }) => runs.some(({ requestId }) => requestId === id));
 }
@@ -81,14 +81,14 @@
   return [...new Set(replicas.map(({ options }) => options.zone))].sort();
 }
 
-/** Gathers of the kind that a gateway took up. */
+/** Number of gathers with this result (`begun` or `relayed`) at a gateway. */
 async function gathersOf({ registry }: OtherGateway, result: string): Promise<number> {
   const metric = await registry.getSingleMetric('driftway_gateway_gathers_total')?.get();
   const values = (metric?.values ?? []).filter(({ labels }) => labels['result'] === result);
   return values.reduce((sum, { value }) => sum + value, 0);
 }
 
-/** The gateways that took up such a gather, asked for with a request of its own. */
+/** Gateways with at least one gather of this result. */
 async function takersOf(harness: GatewayHarness, result: string): Promise<OtherGateway[]> {
   const counts = await Promise.all(harness.others.map((other) => gathersOf(other, result)));
   return harness.others.filter((_, index) => (counts[index] ?? 0) > 0);
@@ -99,15 +99,15 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-describe('groups of shards in the own zone', () => {
-  it.each(REPLICA_ZONES)('are asked of the replicas of zone %s alone', async (zone) => {
+describe("groups of shards in the root's zone", () => {
+  it.each(REPLICA_ZONES)('are queried only at replicas of the zone when it is %s', async (zone) => {
     const { harness, replicas } = await start(zone);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
     expect(zonesOf(ranOf(replicas, 'mine'))).toEqual([zone]);
     expect(await totalOf(harness, 'relayed')).toBe(0);
   });
 
-  it('are asked in other zones where the setting is off', async () => {
+  it('are queried in other zones too when the setting is off', async () => {
     const off = { ...AGGREGATION, nearGroups: false };
     const { harness, replicas } = await start('north', () => false, off);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
@@ -115,7 +115,7 @@
     expect(await totalOf(harness, 'relayed')).toBe(0);
   });
 
-  it('stay there when the zone loses its replica of one shard', async () => {
+  it('keep their other shards when the zone has no replica of one shard', async () => {
     const lacks = (shard: string, zone: string): boolean => shard === 'shard-c' && zone === 'north';
     const { harness, replicas } = await start('north', lacks);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
@@ -123,7 +123,7 @@
     expect(far.map(({ options }) => options.service)).toEqual(['shard-c']);
   });
 
-  it('go to a relay of another zone where the own one lacks many, and no others do', async () => {
+  it('leave only the shards without a replica in the zone to a relay in one other zone', async () => {
     const lacking = new Set(['shard-b', 'shard-d', 'shard-f']);
     const lacks = (shard: string, zone: string): boolean => zone === 'north' && lacking.has(shard);
     const { harness, replicas } = await start('north', lacks);
@@ -134,7 +134,7 @@
     expect(await totalOf(harness, 'relayed')).toBe(1);
   });
 
-  it('are answered for whole when all near leaves have been killed', async () => {
+  it('yield complete answers after all leaves of the zone were killed', async () => {
     const { harness, replicas } = await start('north');
     for (const { machine } of harness.others) {
       if (machine.zone === 'north') machine.crash();
@@ -149,13 +149,13 @@
   it.each([
     ['is killed', (leaf: OtherGateway) => leaf.machine.crash()],
     ['freezes', (leaf: OtherGateway) => leaf.machine.freeze(5_000)],
-  ])('are answered for whole when a near leaf %s in its midst', async (_, fail) => {
+  ])('yield a complete answer when a leaf of the zone %s during the request', async (_, fail) => {
     const { harness, replicas } = await start('north');
     for (const replica of replicas) replica.workMs = 30;
     const sent = harness.send({ path: '/q/1', id: 'mine' });
     await harness.simulation.runFor(10);
     const [leaf] = await takersOf(harness, 'begun');
-    if (leaf === undefined) return expect.fail('no leaf was asked');
+    if (leaf === undefined) return expect.fail('expected a leaf to have started a gather');
     fail(leaf);
     expectWhole(await harness.simulation.settle(sent), 'mine');
     await harness.simulation.runFor(NOTICE_MS);
@@ -165,23 +165,26 @@
   it.each([
     ['are killed', (leaf: OtherGateway) => leaf.machine.crash()],
     ['freeze', (leaf: OtherGateway) => leaf.machine.freeze(5_000)],
-  ])('stay within the attempts when all near leaves %s in its midst', async (_, fail) => {
-    const { harness, replicas } = await start('north');
-    for (const replica of replicas) replica.workMs = 30;
-    const sent = harness.send({ path: '/q/1', id: 'mine' });
-    await harness.simulation.runFor(10);
-    for (const other of harness.others) {
-      if (other.machine.zone === 'north') fail(other);
-    }
-    await harness.simulation.settle(sent);
-    await harness.simulation.runFor(NOTICE_MS);
-    expectWithinAttempts(replicas, 'mine');
-    expectWhole(await harness.call({ path: '/q/1', id: 'later' }), 'later');
-  });
+  ])(
+    'stay within the attempt limit when all leaves of the zone %s during the request',
+    async (_, fail) => {
+      const { harness, replicas } = await start('north');
+      for (const replica of replicas) replica.workMs = 30;
+      const sent = harness.send({ path: '/q/1', id: 'mine' });
+      await harness.simulation.runFor(10);
+      for (const other of harness.others) {
+        if (other.machine.zone === 'north') fail(other);
+      }
+      await harness.simulation.settle(sent);
+      await harness.simulation.runFor(NOTICE_MS);
+      expectWithinAttempts(replicas, 'mine');
+      expectWhole(await harness.call({ path: '/q/1', id: 'later' }), 'later');
+    },
+  );
 });
 
 describe('a root in a zone without replicas', () => {
-  it('has one relay of another zone ask them all there', async () => {
+  it('has a single relay of another zone query all shards in that zone', async () => {
     const { harness, replicas } = await start(BARE_ZONE);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
     const ran = ranOf(replicas, 'mine');
@@ -192,12 +195,12 @@
     expect(relay?.machine.zone).toBe(zonesOf(ran)[0]);
   });
 
-  it('tells the relay that the caller has gone, and it the replicas', async () => {
+  it('has its relay send replicas nothing more after the caller has disconnected', async () => {
     const { harness, replicas } = await start(BARE_ZONE);
     await expectStopWhenCallerGoes(harness, replicas);
   });
 
-  it('answers without late shards when there are enough, before the target', async () => {
+  it('answers before the target latency without late shards when the coverage suffices', async () => {
     const { harness, replicas } = await start(BARE_ZONE);
     for (const replica of replicas) {
       if (replica.options.service === 'shard-b') replica.workMs = 1_000;
@@ -212,7 +215,7 @@
     expectWithinAttempts(replicas, 'mine');
   });
 
-  it('gets parts that come after the report of its relay, and before the cut-off', async () => {
+  it('receives parts that arrive after the report of its relay but before the cut-off', async () => {
     const { harness, replicas } = await start(BARE_ZONE);
     for (const replica of replicas) {
       if (replica.options.service === 'shard-b') replica.workMs = LATE_WORK_MS;
@@ -225,7 +228,7 @@
     expect(tookMs).toBeLessThan(200);
   });
 
-  it('has second replicas asked of shards whose first one is late', async () => {
+  it('has a second replica tried for shards whose first replica is late', async () => {
     const { harness, replicas } = await start(BARE_ZONE);
     expectWhole(await harness.call({ path: '/q/1', id: 'first' }), 'first');
     for (const replica of ranOf(replicas, 'first')) replica.workMs = 1_000;
@@ -240,7 +243,7 @@
     ['loses power', (leaf: OtherGateway) => leaf.machine.crash({ power: true })],
     ['is killed', (leaf: OtherGateway) => leaf.machine.crash()],
     ['freezes', (leaf: OtherGateway) => leaf.machine.freeze(5_000)],
-  ])('is answered for whole when the relay %s in its midst', async (_, fail) => {
+  ])('returns a complete answer when the relay %s during the request', async (_, fail) => {
     const { harness, replicas } = await start(BARE_ZONE);
     for (const replica of replicas) replica.workMs = 30;
     const sent = harness.send({ path: '/q/1', id: 'mine' });
@@ -256,21 +259,25 @@
   it.each([
     ['is killed', (leaf: OtherGateway) => leaf.machine.crash()],
     ['freezes', (leaf: OtherGateway) => leaf.machine.freeze(5_000)],
-  ])('is answered for whole when a leaf behind the relay %s', async (_, fail) => {
-    const { harness, replicas } = await start(BARE_ZONE);
-    for (const replica of replicas) replica.workMs = 30;
-    const sent = harness.send({ path: '/q/1', id: 'mine' });
-    await harness.simulation.runFor(15);
-    const [relay] = await takersOf(harness, 'relayed');
-    const [leaf] = (await takersOf(harness, 'begun')).filter((other) => other !== relay);
-    if (leaf === undefined) return expect.fail('no leaf but the relay was asked');
-    fail(leaf);
-    expectWhole(await harness.simulation.settle(sent), 'mine');
-    await harness.simulation.runFor(NOTICE_MS);
-    expectWithinAttempts(replicas, 'mine');
-  });
+  ])(
+    'returns a complete answer when a leaf of the relay %s during the request',
+    async (_, fail) => {
+      const { harness, replicas } = await start(BARE_ZONE);
+      for (const replica of replicas) replica.workMs = 30;
+      const sent = harness.send({ path: '/q/1', id: 'mine' });
+      await harness.simulation.runFor(15);
+      const [relay] = await takersOf(harness, 'relayed');
+      const [leaf] = (await takersOf(harness, 'begun')).filter((other) => other !== relay);
+      if (leaf === undefined)
+        return expect.fail('expected a leaf other than the relay to have started a gather');
+      fail(leaf);
+      expectWhole(await harness.simulation.settle(sent), 'mine');
+      await harness.simulation.runFor(NOTICE_MS);
+      expectWithinAttempts(replicas, 'mine');
+    },
+  );
 
-  it('is answered for whole when all leaves of the zone of its relay are killed', async () => {
+  it("returns complete answers after all leaves of the relay's zone were killed", async () => {
     const { harness, replicas } = await start(BARE_ZONE);
     expectWhole(await harness.call({ path: '/q/1', id: 'first' }), 'first');
     const [zone] = zonesOf(ranOf(replicas, 'first'));
@@ -283,7 +290,7 @@
     expectWithinAttempts(replicas, 'soon');
   });
 
-  it('is answered for whole when a shard has one replica left and the relay is killed', async () => {
+  it('returns an answer when the relay is killed while a shard has one replica left', async () => {
     const lacks = (shard: string, zone: string): boolean => shard === 'shard-c' && zone !== 'south';
     const { harness, replicas } = await start(BARE_ZONE, lacks);
     for (const replica of replicas) replica.workMs = 30;
@@ -297,13 +304,13 @@
     expectWhole(await harness.call({ path: '/q/1', id: 'later' }), 'later');
   });
 
-  it('keeps each request within its attempts while gateways freeze for moments', async () => {
+  it('stays within the attempt limit while gateways freeze for short times', async () => {
     const { harness, replicas } = await start(BARE_ZONE);
     for (const replica of replicas) replica.workMs = 400;
     for (let call = 0; call < 8; call += 1) {
       const sent = harness.send({ path: '/q/1', id: `id-${call}` });
       await harness.simulation.runFor(20);
-      // Longer than a first report is waited for, and shorter than the request takes.
+      // Longer than the wait for a first report, but shorter than the request takes.
       for (const [index, { machine }] of harness.others.entries()) {
         if (index % 4 === call % 4) machine.freeze(150);
       }
