--- a/src/aggregation/leaf-link.ts
+++ b/src/aggregation/leaf-link.ts
@@ -185,7 +185,7 @@
     this.isDialling = false;
     this.connection?.close();
     this.connection = undefined;
-    this.scheduleRedial();
+    this.startBackoff();
     if (wasOpen && !this.isClosed) logger.info('connection to leaf lost', { leaf: name, reason });
     this.failGathers();
   }
@@ -198,7 +198,7 @@
     });
   }
 
-  private scheduleRedial(): void {
+  private startBackoff(): void {
     const { clock, random } = this.options.environment;
     const backoff = Math.min(INITIAL_BACKOFF_MS * 2 ** this.failedDials, MAXIMUM_BACKOFF_MS);
     this.failedDials += 1;
@@ -264,7 +264,7 @@
       throw new MalformedMessageError(
         'receive from leaf',
         name,
-        'expected one signature per shard and whole records',
+        'expected one signature per shard and at most the requested number of whole records',
       );
     }
     const shards = positions.map((position) => gather.shards[position] ?? '');
--- a/src/aggregation/relayed-groups.ts
+++ b/src/aggregation/relayed-groups.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Returns `groups`, with those of each remote zone merged where they are at least {@link
- * MINIMUM_RELAYED_GROUPS}.
+ * Returns `groups`, with the groups of a remote zone merged where it has at least
+ * {@link MINIMUM_RELAYED_GROUPS} of them.
  */
 export function mergeRemoteGroups(
   groups: readonly LeafGroup[],
--- a/src/evacuations/evacuation-orders.ts
+++ b/src/evacuations/evacuation-orders.ts
@@ -36,7 +36,7 @@
   readonly logger: Logger;
 }
 
-/** Operations of one controller, which may be a follower. */
+/** Calls go through the log, except {@link EvacuationOrders.appliedZones}, which reads locally. */
 export class EvacuationOrders {
   constructor(private readonly options: EvacuationOrdersOptions) {}
 
--- a/src/routes/read-route-document.ts
+++ b/src/routes/read-route-document.ts
@@ -25,15 +25,15 @@
   return route.service === undefined ? [] : [route.service];
 }
 
-function findTargetProblems(route: Route, place: string): string[] {
+function findTargetProblems(route: Route, path: string): string[] {
   const targets = [route.service, route.split, route.shards].filter((one) => one !== undefined);
-  if (targets.length !== 1) return [`${place}: expected exactly one of service, split and shards`];
+  if (targets.length !== 1) return [`${path}: expected exactly one of service, split and shards`];
   if (route.shards !== undefined && new Set(route.shards).size < route.shards.length) {
-    return [`${place}.shards: expected unique names, found a shard twice`];
+    return [`${path}.shards: expected unique names, found a shard twice`];
   }
   if (route.split === undefined) return [];
   const total = route.split.reduce((sum, { weight }) => sum + weight, 0);
-  return total > 0 ? [] : [`${place}.split: expected weights with a sum above 0`];
+  return total > 0 ? [] : [`${path}.split: expected weights with a sum above 0`];
 }
 
 function findDocumentProblems(document: RouteDocument): string[] {
@@ -43,14 +43,14 @@
     problems.push('services: expected unique names, found a name twice');
   const hostsAndPrefixes = new Set<string>();
   for (const [index, route] of document.routes.entries()) {
-    const place = `routes.${index}`;
-    problems.push(...findTargetProblems(route, place));
+    const path = `routes.${index}`;
+    problems.push(...findTargetProblems(route, path));
     for (const service of servicesOf(route)) {
-      if (!services.has(service)) problems.push(`${place}: there is no service "${service}"`);
+      if (!services.has(service)) problems.push(`${path}: there is no service "${service}"`);
     }
     const key = `${route.host.toLowerCase()} ${route.pathPrefix}`;
     if (hostsAndPrefixes.has(key))
-      problems.push(`${place}: another route has the same host and path prefix`);
+      problems.push(`${path}: another route has the same host and path prefix`);
     hostsAndPrefixes.add(key);
   }
   problems.push(...findTenantProblems(document.tenants ?? []));
--- a/src/routes/tenant-problems.ts
+++ b/src/routes/tenant-problems.ts
@@ -11,22 +11,26 @@
   const problems: string[] = [];
   const pathsByName = new Map<string, string>();
   for (const [index, { name }] of tenants.entries()) {
-    const place = `tenants.${index}`;
-    const other = pathsByName.get(name);
-    if (other === undefined) pathsByName.set(name, place);
-    else problems.push(`${place}.name: ${other} already has this name`);
+    const path = `tenants.${index}`;
+    const otherPath = pathsByName.get(name);
+    if (otherPath === undefined) pathsByName.set(name, path);
+    else problems.push(`${path}.name: ${otherPath} already has this name`);
   }
   return problems;
 }
 
 /** Finds keys that an earlier tenant has. A tenant may list one of its own keys twice. */
-function findSharedKeys(keys: readonly string[], tenant: string, pathsByKey: PathsByKey): string[] {
+function findSharedKeys(
+  keys: readonly string[],
+  tenantPath: string,
+  pathsByKey: PathsByKey,
+): string[] {
   const problems: string[] = [];
   for (const key of new Set(keys)) {
-    const place = `${tenant}.keys.${keys.indexOf(key)}`;
-    const other = pathsByKey.get(key);
-    if (other === undefined) pathsByKey.set(key, place);
-    else problems.push(`${place}: expected a unique key, found the same key at ${other}`);
+    const path = `${tenantPath}.keys.${keys.indexOf(key)}`;
+    const otherPath = pathsByKey.get(key);
+    if (otherPath === undefined) pathsByKey.set(key, path);
+    else problems.push(`${path}: expected a unique key, found the same key at ${otherPath}`);
   }
   return problems;
 }
--- a/test/aggregation/group-gather.test.ts
+++ b/test/aggregation/group-gather.test.ts
@@ -33,8 +33,8 @@
   };
   const pool = {
     avoid: () => undefined,
-    choose: (_group: unknown, asked: ReadonlySet<string>) =>
-      links.find(({ leaf }) => !asked.has(leaf.name)),
+    choose: (_group: unknown, excluded: ReadonlySet<string>) =>
+      links.find(({ leaf }) => !excluded.has(leaf.name)),
   };
   const latencies = { reportTimeoutMs: () => 50 };
   const parts = { rootContext: context, leafContext: context, ownName: 'root', pool, latencies };
