--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -11,7 +11,7 @@
 import type { GatheredParts, PartListener } from '../gateway/part-source.js';
 import { ShardGather } from '../gateway/shard-gather.js';
 import { targetLatencyOf } from '../gateway/route-latencies.js';
-import { TIME_UP, UNOFFERED_PART } from '../gateway/forward-single.js';
+import { TIME_UP, NO_ATTEMPT_REFUSAL_FRACTION } from '../gateway/forward-single.js';
 import type { PartsMessage } from './aggregation-messages.js';
 import type { LeafSource } from './leaf-source.js';
 
@@ -89,7 +89,9 @@
     this.timers.push(
       clock.setTimer(hedgeDelay * GRANT_REQUEST_FRACTION, () => this.requestGrant()),
       this.startReportTimer(),
-      clock.setTimer(targetLatencyOf(route) * UNOFFERED_PART, () => this.endIfUnoffered()),
+      clock.setTimer(targetLatencyOf(route) * NO_ATTEMPT_REFUSAL_FRACTION, () =>
+        this.endIfUnoffered(),
+      ),
       clock.setTimer(Math.max(0, deadline - clock.now()), () => this.end(TIME_UP)),
     );
     this.gather.start();
@@ -160,7 +162,7 @@
   }
 
   private endIfUnoffered(): void {
-    if (!this.gather.isOffered) this.end('no replica has room');
+    if (!this.gather.mayHaveSent) this.end('no replica has room');
   }
 
   private end(reason: string): void {
@@ -216,7 +218,7 @@
     this.gather.cancel(reason);
     if (missing > 0 || sends > shards.length) {
       const summary = { root, rootRouteVersion, shards: shards.length, missing, sends, reason };
-      this.context.decisions.gathered(request, this.gather, summary);
+      this.context.decisions.logGather(request, this.gather, summary);
     }
     this.options.onEnd();
   }
--- a/src/aggregation/relayed-gather.ts
+++ b/src/aggregation/relayed-gather.ts
@@ -24,8 +24,8 @@
     return this.groups.reduce((sum, { sends }) => sum + sends, 0);
   }
 
-  get isOffered(): boolean {
-    return this.groups.some(({ isOffered }) => isOffered);
+  get mayHaveSent(): boolean {
+    return this.groups.some(({ mayHaveSent: isOffered }) => isOffered);
   }
 
   get mayRun(): boolean {
--- a/test/aggregation/group-gather.test.ts
+++ b/test/aggregation/group-gather.test.ts
@@ -78,7 +78,7 @@
     const { gather } = gatherOver([first, second], { isGranted: false });
     gather.start();
     first.callbacks?.onLost();
-    expect(gather.isOffered).toBe(true);
+    expect(gather.mayHaveSent).toBe(true);
     expect(gather.mayRun).toBe(true);
   });
 });
