--- a/src/aggregation/aggregation.ts
+++ b/src/aggregation/aggregation.ts
@@ -1,6 +1,6 @@
 /**
- * The part of a gateway that divides large fan-outs: as a root it gives groups of
- * shards to leaves, as a leaf it takes such groups from other roots.
+ * Divides large fan-outs among gateways. As a root, a gateway assigns groups of shards to leaf
+ * gateways; as a leaf, it queries the shards of groups that other roots assign to it.
  */
 import type { AggregationSettings } from '../configuration/gateway-configuration.js';
 import type { LeafGateway } from '../directory/leaf-gateway.js';
@@ -16,26 +16,26 @@
 import type { RouteTable } from '../routes/route-table.js';
 import type { Address } from '../seams/address.js';
 import { LeafAssignment } from './leaf-assignment.js';
-import { GROUP_OWNERS, NEAR_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
+import { GROUP_OWNERS, SAME_ZONE_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
 import { LeafLatencies } from './leaf-latencies.js';
 import { LeafPool } from './leaf-pool.js';
 import { LeafServer } from './leaf-server.js';
 import { SourcePlanner } from './source-planner.js';
 
 /**
- * Leaves that share a replica's connections and the second sends of its service, for each of its
- * group's owners: the owner, and one that stands in for it or holds the connections of a
- * division that has just changed.
+ * Leaves per group owner among which a replica's connections and its service's retry budget are
+ * shared: the owner, and one more that replaces it or still holds connections from before the
+ * groups changed.
  */
 const SHARING_LEAVES_PER_OWNER = 2;
-/** How often connections to leaves are looked after. Milliseconds. */
-const KEEP_INTERVAL_MS = 300;
+/** Interval at which connections to leaves are opened and closed as the groups require. */
+const MAINTENANCE_INTERVAL_MS = 300;
 
-/** What the part is made of. */
+/** Dependencies and settings of {@link Aggregation}. */
 export interface AggregationOptions {
   readonly context: GatewayContext;
   readonly identity: LocalIdentity;
-  /** Of this gateway. */
+  /** Zone of this gateway. */
   readonly zone: string;
   readonly settings: AggregationSettings;
   readonly secondSends: SecondSendLimits;
@@ -45,20 +45,20 @@
   readonly stopped: AbortSignal;
 }
 
-/** See the module comment. */
+/** Created once per gateway; {@link listen} is called only on a gateway that acts as a leaf. */
 export class Aggregation {
   private readonly pool: LeafPool;
   private readonly assignment: LeafAssignment;
   private readonly server: LeafServer;
   private readonly planner: SourcePlanner;
   private listener: AuthenticatedListener | undefined;
-  private readonly owned = new WeakMap<readonly LeafGroup[], ReadonlySet<string>>();
+  private readonly ownedShardsByGroups = new WeakMap<readonly LeafGroup[], ReadonlySet<string>>();
 
   constructor(private readonly options: AggregationOptions) {
     const { context, identity, zone, settings, telemetry, leaves, table } = options;
     const { environment, targets } = context;
     const { clock, random } = environment;
-    const leafContext = { ...context, shares: this.leafShares() };
+    const leafContext = { ...context, shares: this.createLeafShares() };
     const { logger } = telemetry;
     const { traffic } = context;
     this.pool = new LeafPool({ environment, identity, logger, traffic }, random);
@@ -67,7 +67,7 @@
       targets,
       leaves,
       shardsPerGroup: settings.shardsPerGroup,
-      nearTo: settings.nearGroups ? { name: identity.name, zone } : undefined,
+      sameZoneAs: settings.nearGroups ? { name: identity.name, zone } : undefined,
     });
     this.server = new LeafServer({
       context: leafContext,
@@ -86,7 +86,11 @@
     });
   }
 
-  /** @throws ConnectionError when the address cannot be listened on. */
+  /**
+   * Accepts connections of roots.
+   *
+   * @throws ConnectionError when it cannot listen on the address.
+   */
   async listen(address: Address): Promise<void> {
     const { context, identity, telemetry } = this.options;
     this.listener = await AuthenticatedListener.listen(
@@ -98,17 +102,17 @@
     );
   }
 
-  /** Keeps connections to leaves open until the gateway stops. */
+  /** Maintains connections to leaves until the gateway stops. */
   start(): void {
-    void this.keepConnected();
+    void this.maintainConnections();
   }
 
-  /** Gathers in progress here for other gateways. */
+  /** Number of gathers in progress on this gateway for other gateways. */
   get inProgress(): number {
     return this.server.inProgress;
   }
 
-  /** Who asks the shards of the request. */
+  /** Returns the sources that together query the shards of the request; none of them is started. */
   plan(
     request: CallerRequest,
     shards: readonly string[],
@@ -117,8 +121,11 @@
     return this.planner.plan(request, shards, listener);
   }
 
-  /** Whether this gateway asks the service itself, so that connections to its replicas pay. */
-  asksItself(service: string): boolean {
+  /**
+   * Whether this gateway queries the service directly, so that warm connections to its replicas pay
+   * off.
+   */
+  queriesDirectly(service: string): boolean {
     const lists = this.options.table()?.shardLists ?? [];
     let isNamed = false;
     for (const list of lists) {
@@ -126,32 +133,38 @@
       if (this.isOwner(list.shards, service)) return true;
       isNamed = true;
     }
-    // Perhaps a shard of the next version of the routes: of a few it may be asked from here.
+    // A service in no list may be a shard of the next route document. While no list is divided,
+    // this gateway would query it itself.
     return !isNamed && !lists.some(({ shards }) => this.planner.isDivided(shards));
   }
 
   /**
-   * Replicas that are asked first, of services that are asked from here: where each zone asks its
-   * own replicas, those of other zones are asked too seldom to hold connections to all of them.
+   * Replicas that this gateway tries first, if it queries their services directly. Where each zone
+   * queries its own replicas, it queries those of other zones too rarely to hold connections to all
+   * of them.
    */
-  *firstAsked(): IterableIterator<ReplicaTarget> {
+  *preferredTargets(): IterableIterator<ReplicaTarget> {
     const { context, settings, zone } = this.options;
     const { targets } = context;
     for (const target of targets.all()) {
       const { entry } = target;
-      const isNear = (other: ReplicaTarget): boolean => other.entry.zone === zone;
-      if (!settings.nearGroups || isNear(target) || !targets.of(entry.service).some(isNear)) {
+      const isInSameZone = (other: ReplicaTarget): boolean => other.entry.zone === zone;
+      if (
+        !settings.nearGroups ||
+        isInSameZone(target) ||
+        !targets.of(entry.service).some(isInSameZone)
+      ) {
         yield target;
       }
     }
   }
 
-  /** Planned stop, first half: takes no new gathers; those in progress go on. */
-  stopTaking(): void {
+  /** First step of a drain: declines new gathers; those in progress continue. */
+  stopAccepting(): void {
     this.server.stop();
   }
 
-  /** Planned stop, second half. */
+  /** Second step of a drain: closes all connections. */
   async close(): Promise<void> {
     this.pool.close();
     await this.listener?.close();
@@ -162,49 +175,49 @@
     return this.ownedShards(this.assignment.directGroupsOf(shards)).has(service);
   }
 
-  /** Shards of the groups that this gateway owns. Asked for with each replica, so it is kept. */
+  /** Shards of the groups that this gateway owns; cached, as it is needed once per replica. */
   private ownedShards(groups: readonly LeafGroup[]): ReadonlySet<string> {
-    const known = this.owned.get(groups);
+    const known = this.ownedShardsByGroups.get(groups);
     if (known !== undefined) return known;
     const { name } = this.options.identity;
     const mine = groups.filter(({ leaves, owners }) =>
       leaves.slice(0, owners).some((leaf) => leaf.name === name),
     );
     const shards = new Set(mine.flatMap((group) => group.shards));
-    this.owned.set(groups, shards);
+    this.ownedShardsByGroups.set(groups, shards);
     return shards;
   }
 
-  private leafShares(): FleetShares {
+  private createLeafShares(): FleetShares {
     const { context, secondSends } = this.options;
     const { clock } = context.environment;
     const { youngShares } = context.mechanisms;
     return new FleetShares(clock, secondSends, () => this.sharingLeaves, youngShares);
   }
 
-  /** Where each zone asks its own replicas, the owners of any zone may send to any replica. */
+  /** Where each zone queries its own replicas, the owners of every zone may send to any replica. */
   private get sharingLeaves(): number {
     const { settings, leaves } = this.options;
     if (!settings.nearGroups) return SHARING_LEAVES_PER_OWNER * GROUP_OWNERS;
     const zones = new Set(leaves().map(({ zone }) => zone));
-    const asking = new Set<string>();
+    const queryingZones = new Set<string>();
     for (const { entry } of this.options.context.targets.all()) {
-      if (zones.has(entry.zone)) asking.add(entry.zone);
+      if (zones.has(entry.zone)) queryingZones.add(entry.zone);
     }
-    return SHARING_LEAVES_PER_OWNER * NEAR_GROUP_OWNERS * Math.max(1, asking.size);
+    return SHARING_LEAVES_PER_OWNER * SAME_ZONE_GROUP_OWNERS * Math.max(1, queryingZones.size);
   }
 
-  private async keepConnected(): Promise<void> {
+  private async maintainConnections(): Promise<void> {
     const { context, stopped, identity } = this.options;
     const { clock } = context.environment;
     while (!stopped.aborted) {
-      this.pool.keep(
+      this.pool.updateConnections(
         this.dividedGroups().map((group) => ({
           ...group,
           leaves: group.leaves.filter(({ name }) => name !== identity.name),
         })),
       );
-      await clock.sleep(KEEP_INTERVAL_MS, stopped).catch(() => undefined);
+      await clock.sleep(MAINTENANCE_INTERVAL_MS, stopped).catch(() => undefined);
     }
   }
 
--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -1,8 +1,8 @@
 /**
- * One gather at a leaf: asks the shards and reports their parts to the root,
- * merged. It reports when all have ended; also once when attempts are unusually
- * late, so that the root sees that the leaf lives, and when the root has to
- * answer with what it has; from then on each part as it comes.
+ * One gather at a leaf: queries the shards and reports their merged parts to the root. A report
+ * is sent when all shards have ended, once when attempts are unusually late (which shows the root
+ * that the leaf is alive), and when the root is about to answer; after that, each part is reported
+ * as it arrives.
  */
 import type { Timer } from '../seams/clock.js';
 import type { CallerRequest } from '../gateway/caller-request.js';
@@ -15,39 +15,45 @@
 import type { PartsMessage } from './aggregation-messages.js';
 import type { LeafSource } from './leaf-source.js';
 
-/** The grant is asked for at this part of the hedge delay, to be there when it is needed. */
-const GRANT_PART = 0.7;
+/**
+ * Fraction of the hedge delay after which the grant is requested, so that it arrives in time for
+ * the hedge.
+ */
+const GRANT_REQUEST_FRACTION = 0.7;
 
-/** What a leaf was asked to do. */
+/** A root's gather and the callbacks to report it. */
 export interface LeafGatherOptions {
   readonly gatherId: number;
   readonly request: CallerRequest;
   readonly shards: readonly string[];
   readonly totalShards: number;
   readonly isRepeat: boolean;
-  /** Milliseconds from now. */
+  /** Time until the report that the root waits for. Milliseconds from now. */
   readonly reportInMs: number;
-  /** Name of the gateway that asks. */
+  /** Name of the root gateway. */
   readonly root: string;
-  /** Version of the route document that it works by. */
+  /** Version of the root's route document. */
   readonly rootRouteVersion: number;
-  /** At a relay: makes what has the shards asked by leaves; absent: they are asked from here. */
+  /**
+   * At a relay: creates the source that queries the shards through leaves; absent: they are queried
+   * directly.
+   */
   readonly relay?:
     ((listener: PartListener, maySendAgain: () => boolean) => LeafSource) | undefined;
   readonly report: (message: PartsMessage) => void;
   readonly onEnd: () => void;
-  /** Gathers in progress at this leaf, for the root's choice. */
+  /** Number of gathers in progress at this leaf, by which roots choose among leaves. */
   readonly gathersInProgress: () => number;
 }
 
 interface ReportOptions {
   readonly isLast: boolean;
   readonly wantsGrant: boolean;
-  /** Why the gather ends. */
+  /** Why the gather ended; reported only when shards failed or are missing. */
   readonly reason: string;
 }
 
-/** See the module comment. */
+/** Starts with {@link start}; ends by itself or by {@link cancel}, then calls `onEnd` once. */
 export class LeafGather implements PartListener {
   private readonly gather: LeafSource;
   private readonly positions: ReadonlyMap<string, number>;
@@ -55,11 +61,11 @@
   private unreported: GatheredParts[] = [];
   private answered = 0;
   private failed = 0;
-  private isPastReport = false;
-  private hasAskedForGrant = false;
+  private isReportTimePast = false;
+  private hasRequestedGrant = false;
   private isGranted = false;
-  /** A second sending was due before the grant came. */
-  private isHedgeDue = false;
+  /** A further attempt was due before the grant arrived. */
+  private isHedgePending = false;
   private isDone = false;
 
   constructor(
@@ -81,25 +87,25 @@
     const { route, deadline } = request;
     const { hedgeDelay } = this.context.latencies.of(route);
     this.timers.push(
-      clock.setTimer(hedgeDelay * GRANT_PART, () => this.askForGrant()),
-      this.reportTimer(),
+      clock.setTimer(hedgeDelay * GRANT_REQUEST_FRACTION, () => this.requestGrant()),
+      this.startReportTimer(),
       clock.setTimer(targetLatencyOf(route) * NO_ATTEMPT_REFUSAL_FRACTION, () =>
-        this.endUnoffered(),
+        this.endIfUnoffered(),
       ),
       clock.setTimer(Math.max(0, deadline - clock.now()), () => this.end(TIME_UP)),
     );
     this.gather.start();
   }
 
-  /** Reports by the time that the root wants it, earlier where timers run late here. */
-  private reportTimer(): Timer {
+  /** Schedules the report that the root waits for, earlier by the lag of timers on this gateway. */
+  private startReportTimer(): Timer {
     const { environment, answerMargin } = this.context;
     const { clock } = environment;
-    const rest = Math.max(0, this.options.reportInMs - answerMargin.lag);
-    const dueAt = clock.now() + rest;
-    return clock.setTimer(rest, () => {
+    const delayMs = Math.max(0, this.options.reportInMs - answerMargin.lag);
+    const dueAt = clock.now() + delayMs;
+    return clock.setTimer(delayMs, () => {
       answerMargin.noteTimer(clock.now() - dueAt);
-      this.passReport();
+      this.reportOnTime();
     });
   }
 
@@ -107,52 +113,55 @@
     if (this.isDone) return;
     this.unreported.push(parts);
     this.answered += parts.shards.length;
-    this.goOn();
+    this.reportProgress();
   }
 
   onFailed(shards: readonly string[]): void {
     if (this.isDone) return;
     this.failed += shards.length;
-    this.goOn();
+    this.reportProgress();
   }
 
-  /** The root does not want the rest. */
+  /** Ends the gather without a report. */
   cancel(reason: string): void {
     if (this.isDone) return;
     this.finish(reason);
   }
 
-  /** The root has given the shards to no other leaf, and will not. */
+  /**
+   * Handles the root's grant: the root has assigned the shards to no other leaf and will not do so,
+   * so further attempts are permitted.
+   */
   grant(): void {
     this.isGranted = true;
-    if (this.isHedgeDue && !this.isDone) this.gather.hedge();
+    if (this.isHedgePending && !this.isDone) this.gather.hedge();
   }
 
   private maySendAgain(): boolean {
     if (this.isGranted) return true;
-    this.isHedgeDue = true;
-    this.askForGrant();
+    this.isHedgePending = true;
+    this.requestGrant();
     return false;
   }
 
-  /** Also shows the root that this leaf lives. */
-  private askForGrant(): void {
-    if (this.hasAskedForGrant || this.isDone) return;
-    this.hasAskedForGrant = true;
+  /** The report also shows the root that this leaf is alive. */
+  private requestGrant(): void {
+    if (this.hasRequestedGrant || this.isDone) return;
+    this.hasRequestedGrant = true;
     this.report({ wantsGrant: true });
   }
 
-  private goOn(): void {
+  private reportProgress(): void {
     if (this.answered + this.failed === this.options.shards.length) this.end('all have ended');
-    else if (this.isPastReport) this.report({});
+    else if (this.isReportTimePast) this.report({});
   }
 
-  private passReport(): void {
-    this.isPastReport = true;
+  private reportOnTime(): void {
+    this.isReportTimePast = true;
     this.report({});
   }
 
-  private endUnoffered(): void {
+  private endIfUnoffered(): void {
     if (!this.gather.mayHaveSent) this.end('no replica has room');
   }
 
@@ -175,7 +184,7 @@
       kind: 'parts',
       gatherId,
       shards: JSON.stringify(
-        parts.flatMap(({ shards }) => shards.map((shard) => this.place(shard))),
+        parts.flatMap(({ shards }) => shards.map((shard) => this.positionOf(shard))),
       ),
       signatures: JSON.stringify(parts.flatMap(({ signatures }) => signatures)),
       records: mergeRecords(
@@ -186,17 +195,17 @@
       wantsGrant,
       mayHaveRun: this.gather.mayRun,
       sends: this.gather.sends,
-      reason: this.failed > 0 || this.isCutShort ? reason : '',
+      reason: this.failed > 0 || this.isIncomplete ? reason : '',
       admittedPart: this.context.shedding.admittedPart(this.options.shards[0] ?? ''),
       gathersInProgress: gathersInProgress(),
     });
   }
 
-  private get isCutShort(): boolean {
+  private get isIncomplete(): boolean {
     return this.answered + this.failed < this.options.shards.length;
   }
 
-  private place(shard: string): number {
+  private positionOf(shard: string): number {
     return this.positions.get(shard) ?? 0;
   }
 
--- a/src/aggregation/leaf-link.ts
+++ b/src/aggregation/leaf-link.ts
@@ -1,6 +1,6 @@
 /**
- * The root's connection to one leaf, opened when it is first wanted and again
- * after a loss. Gathers that are in progress when it is lost end as lost.
+ * A root's link to one leaf: a connection that is opened on demand and reopened with exponential
+ * backoff after a loss. Gathers in progress when the connection is lost end as lost.
  */
 import type { LeafGateway } from '../directory/leaf-gateway.js';
 import type { GatheredParts } from '../gateway/part-source.js';
@@ -22,38 +22,45 @@
 } from './aggregation-messages.js';
 import { readPositions, readStrings } from './json-list.js';
 
-/** Longest time to open a connection; a leaf without power answers nothing. Milliseconds. */
+/** Connect timeout; a leaf without power does not even refuse connections. */
 const DIAL_TIMEOUT_MS = 300;
-/** Pause before a leaf that could not be reached is dialled again; doubled each time, up to the most. Milliseconds. */
-const FIRST_REDIAL_MS = 200;
-const LONGEST_REDIAL_MS = 3_000;
-/** A leaf that had this long for a gather and said nothing is cut off or frozen. Milliseconds. */
-export const LONGEST_SILENCE_MS = 1_000;
+/**
+ * Backoff before an unreachable leaf is dialled again; doubles with each failure up to the maximum.
+ */
+const INITIAL_BACKOFF_MS = 200;
+const MAXIMUM_BACKOFF_MS = 3_000;
+/**
+ * A leaf that sends nothing for this long while a gather is in progress is taken for unreachable or
+ * frozen.
+ */
+export const SILENCE_TIMEOUT_MS = 1_000;
 
-/** What the root hears of one gather. */
+/** Receives the events of one gather at the root. */
 export interface GatherListener {
   onReport(parts: GatheredParts, message: PartsMessage): void;
   onDeclined(reason: string): void;
-  /** The connection ended; the leaf may have asked replicas. */
+  /** The connection was lost; the leaf may have sent requests to replicas. */
   onLost(): void;
 }
 
-/** What all links of a root share. */
-export interface LeafLinkParts {
+/** Dependencies that all links of a root share. */
+export interface LeafLinkOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly logger: Logger;
   readonly traffic: ZoneTraffic;
 }
 
-/** What a leaf is asked to do. */
+/** A gather or relay to send to a leaf. */
 export interface GatherCall extends Omit<GatherMessage, 'kind' | 'gatherId' | 'shards'> {
-  /** Whether the leaf itself asks the shards, or has others of its zone ask them. */
+  /**
+   * `gather`: the leaf queries the shards itself; `relay`: it has leaves of its zone query them.
+   */
   readonly kind: 'gather' | 'relay';
   /** An encoded `RequestMessage`. */
   readonly request: Uint8Array;
   readonly shards: readonly string[];
-  /** Greatest records that a report may hold. */
+  /** Maximum number of records in a report. */
   readonly topRecords: number;
 }
 
@@ -66,30 +73,30 @@
 
 /** A gather in progress. */
 export interface GatherHandle {
-  /** Allows the leaf second sendings; see `GrantMessage`. */
+  /** Permits the leaf attempts to further replicas; see `GrantMessage`. */
   grant(): void;
-  /** The result is not wanted any more; the listener hears nothing further. */
+  /** Cancels the gather; its listener is not called any more. */
   cancel(): void;
 }
 
-/** See the module comment. */
+/** The link stays usable after a loss of its connection, until {@link close}. */
 export class LeafLink {
-  /** Said that it is about to stop, on this connection. */
+  /** Whether the leaf announced on this connection that it is draining. */
   isStopping = false;
-  /** Gathers in progress at the leaf, for all roots, as it last said. */
+  /** Number of gathers in progress at the leaf, for all roots, as of its last report. */
   reportedLoad = 0;
   reportedAt = -Infinity;
   private connection: MessageConnection | undefined;
   private isDialling = false;
   private isClosed = false;
-  private failures = 0;
-  private dialAfter = -Infinity;
+  private failedDials = 0;
+  private redialAt = -Infinity;
   private nextGatherId = 1;
-  private heardAt = -Infinity;
+  private lastReceivedAt = -Infinity;
   private readonly gathers = new Map<number, OpenGather>();
 
   constructor(
-    private readonly parts: LeafLinkParts,
+    private readonly options: LeafLinkOptions,
     readonly leaf: LeafGateway,
   ) {}
 
@@ -101,10 +108,10 @@
     return this.gathers.size;
   }
 
-  /** Opens the connection, unless it is open or was lost a moment ago. */
+  /** Opens the connection unless it is open, being opened or in backoff. */
   connect(): void {
-    const { clock } = this.parts.environment;
-    if (this.isOpen || this.isDialling || this.isClosed || clock.now() < this.dialAfter) return;
+    const { clock } = this.options.environment;
+    if (this.isOpen || this.isDialling || this.isClosed || clock.now() < this.redialAt) return;
     this.isDialling = true;
     void this.run();
   }
@@ -114,23 +121,26 @@
     this.connection?.close();
   }
 
-  /** Closes a connection over which a gather has waited for too long; called now and then. */
-  checkSilence(): void {
-    const now = this.parts.environment.clock.now();
+  /**
+   * Closes the connection when the oldest gather has waited too long for any message; called
+   * periodically.
+   */
+  closeIfSilent(): void {
+    const now = this.options.environment.clock.now();
     const [oldest] = this.gathers.values();
     if (oldest === undefined) return;
-    const silentSince = Math.max(this.heardAt, oldest.startedAt);
-    if (now - silentSince > LONGEST_SILENCE_MS) this.connection?.close();
+    const silentSince = Math.max(this.lastReceivedAt, oldest.startedAt);
+    if (now - silentSince > SILENCE_TIMEOUT_MS) this.connection?.close();
   }
 
-  /** Sends a gather; undefined while the connection is not open. */
+  /** Sends a gather; returns undefined while the connection is not open. */
   gather(call: GatherCall, listener: GatherListener): GatherHandle | undefined {
     const { connection } = this;
     if (connection === undefined) return undefined;
     const gatherId = this.nextGatherId;
     this.nextGatherId += 1;
     const { request, shards, topRecords, ...terms } = call;
-    const startedAt = this.parts.environment.clock.now();
+    const startedAt = this.options.environment.clock.now();
     this.gathers.set(gatherId, { shards, topRecords, startedAt, listener });
     const text = JSON.stringify(shards);
     const gather = AGGREGATION_CODEC.encode({ gatherId, shards: text, ...terms });
@@ -150,23 +160,23 @@
   }
 
   private sendFrame(connection: MessageConnection, frame: Uint8Array): void {
-    // A connection that broke ends the task that reads it, which ends its gathers.
+    // Ignored: a broken connection also ends the receive loop, which ends its gathers as lost.
     connection.send(frame).catch(() => undefined);
   }
 
   private async run(): Promise<void> {
-    const { environment, identity, logger } = this.parts;
+    const { environment, identity, logger } = this.options;
     const { address: text, name } = this.leaf;
     let reason = 'closed by the leaf';
     try {
       const address = parseAddress(text);
       const target = { address, role: 'aggregation', connectTimeout: DIAL_TIMEOUT_MS } as const;
-      const connection = this.metered(await dial(environment, identity, target));
+      const connection = this.withMetering(await dial(environment, identity, target));
       this.isDialling = false;
       if (this.isClosed) connection.close();
       this.connection = connection;
       this.isStopping = false;
-      this.failures = 0;
+      this.failedDials = 0;
       await this.receive(connection);
     } catch (error) {
       reason = String(error);
@@ -175,27 +185,27 @@
     this.isDialling = false;
     this.connection?.close();
     this.connection = undefined;
-    this.pauseDialling();
-    if (wasOpen && !this.isClosed) logger.info('leaf lost', { leaf: name, reason });
-    this.loseGathers();
+    this.startBackoff();
+    if (wasOpen && !this.isClosed) logger.info('connection to leaf lost', { leaf: name, reason });
+    this.failGathers();
   }
 
-  private metered(connection: MessageConnection): MessageConnection {
-    const { traffic } = this.parts;
+  private withMetering(connection: MessageConnection): MessageConnection {
+    const { traffic } = this.options;
     return new MeteredConnection(connection, {
       kindOf: (frame) => `aggregation_${AGGREGATION_CODEC.kindOf(frame)}`,
       note: (note) => traffic.note(this.leaf.zone, note),
     });
   }
 
-  private pauseDialling(): void {
-    const { clock, random } = this.parts.environment;
-    const pause = Math.min(FIRST_REDIAL_MS * 2 ** this.failures, LONGEST_REDIAL_MS);
-    this.failures += 1;
-    this.dialAfter = clock.now() + pause * (0.5 + random.nextFloat() / 2);
+  private startBackoff(): void {
+    const { clock, random } = this.options.environment;
+    const backoff = Math.min(INITIAL_BACKOFF_MS * 2 ** this.failedDials, MAXIMUM_BACKOFF_MS);
+    this.failedDials += 1;
+    this.redialAt = clock.now() + backoff * (0.5 + random.nextFloat() / 2);
   }
 
-  private loseGathers(): void {
+  private failGathers(): void {
     const lost = [...this.gathers.values()];
     this.gathers.clear();
     for (const { listener } of lost) listener.onLost();
@@ -205,15 +215,15 @@
     for (;;) {
       const frame = await connection.receive();
       if (frame === undefined) return;
-      this.heardAt = this.parts.environment.clock.now();
-      this.take(AGGREGATION_CODEC.decode(frame, this.leaf.name));
+      this.lastReceivedAt = this.options.environment.clock.now();
+      this.handleMessage(AGGREGATION_CODEC.decode(frame, this.leaf.name));
     }
   }
 
-  private take(message: AggregationMessage): void {
+  private handleMessage(message: AggregationMessage): void {
     switch (message.kind) {
       case 'parts':
-        this.takeParts(message);
+        this.handleParts(message);
         return;
       case 'declined': {
         const gather = this.gathers.get(message.gatherId);
@@ -225,14 +235,18 @@
         this.isStopping = true;
         return;
       default:
-        throw new MalformedMessageError('hear leaf', this.leaf.name, `unexpected ${message.kind}`);
+        throw new MalformedMessageError(
+          'receive from leaf',
+          this.leaf.name,
+          `unexpected message ${message.kind}`,
+        );
     }
   }
 
-  /** A report of a gather that was cancelled or has ended belongs to nobody. */
-  private takeParts(message: PartsMessage): void {
+  /** Ignores reports of gathers that were cancelled or have ended, except for the leaf's load. */
+  private handleParts(message: PartsMessage): void {
     this.reportedLoad = message.gathersInProgress;
-    this.reportedAt = this.heardAt;
+    this.reportedAt = this.lastReceivedAt;
     const gather = this.gathers.get(message.gatherId);
     if (gather === undefined) return;
     const parts = this.readParts(gather, message);
@@ -245,9 +259,13 @@
     const positions = readPositions(message.shards, gather.shards.length, name, 'shards');
     const signatures = readStrings(message.signatures, name, 'signatures');
     const { length } = message.records;
-    const isWhole = length % RECORD_BYTES === 0 && length <= gather.topRecords * RECORD_BYTES;
-    if (signatures.length !== positions.length || !isWhole) {
-      throw new MalformedMessageError('hear leaf', name, 'parts and records do not fit');
+    const isValidLength = length % RECORD_BYTES === 0 && length <= gather.topRecords * RECORD_BYTES;
+    if (signatures.length !== positions.length || !isValidLength) {
+      throw new MalformedMessageError(
+        'receive from leaf',
+        name,
+        'expected one signature per shard and at most the requested number of whole records',
+      );
     }
     const shards = positions.map((position) => gather.shards[position] ?? '');
     return { shards, signatures, records: message.records };
--- a/src/aggregation/leaf-pool.ts
+++ b/src/aggregation/leaf-pool.ts
@@ -1,47 +1,49 @@
-/** All connections of a root to leaves, and the choice among them. */
+/** The links of a root to leaves, and load balancing among them. */
 import type { LeafGateway } from '../directory/leaf-gateway.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { LeafGroup } from './leaf-group.js';
-import { LeafLink, type LeafLinkParts } from './leaf-link.js';
+import { LeafLink, type LeafLinkOptions } from './leaf-link.js';
 
-/** Leaves of a group to which connections are kept open besides its owners: one that stands by. */
-const KEPT_STAND_BYS = 1;
-/** What a leaf said of its load is used for this long. Milliseconds. */
-const LOAD_VALID_MS = 1_000;
-/** A leaf with so many gathers in progress is passed over while the next one has fewer. */
+/** Number of standbys of a group to which connections are kept open besides its owners. */
+const CONNECTED_STANDBYS = 1;
+/** How long a leaf's reported load is used. */
+const LOAD_REPORT_VALIDITY_MS = 1_000;
+/**
+ * Number of gathers in progress at which a leaf is busy, so that others with fewer are preferred.
+ */
 const BUSY_GATHERS = 12;
-/** A leaf that was late or lost is passed over for this long. Milliseconds. */
-const AVOIDED_MS = 3_000;
+/** How long a leaf that was late or lost is avoided. */
+const AVOIDANCE_MS = 3_000;
 
-/** See the module comment. */
+/** Opens no connection by itself: the owner calls {@link updateConnections} periodically. */
 export class LeafPool {
   private readonly links = new Map<string, LeafLink>();
   private readonly avoidedUntil = new Map<string, number>();
 
   constructor(
-    private readonly parts: LeafLinkParts,
+    private readonly linkOptions: LeafLinkOptions,
     private readonly random: RandomSource,
   ) {}
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   get openLinks(): number {
     return [...this.links.values()].filter(({ isOpen }) => isOpen).length;
   }
 
-  /** Opens connections to the leaves of the groups, and closes those that no group needs. */
-  keep(groups: readonly LeafGroup[]): void {
+  /** Opens connections to the leaves of the groups, and closes idle ones that no group needs. */
+  updateConnections(groups: readonly LeafGroup[]): void {
     const wanted = new Map<string, LeafGateway>();
     for (const { leaves, owners } of groups) {
-      for (const leaf of leaves.slice(0, owners + KEPT_STAND_BYS)) wanted.set(leaf.name, leaf);
+      for (const leaf of leaves.slice(0, owners + CONNECTED_STANDBYS)) wanted.set(leaf.name, leaf);
     }
     for (const [name, link] of this.links) {
-      link.checkSilence();
+      link.closeIfSilent();
       const isWanted = wanted.get(name)?.address === link.leaf.address;
       if (isWanted || link.inProgress > 0) continue;
       this.links.delete(name);
       link.close();
     }
-    for (const leaf of wanted.values()) this.linkTo(leaf).connect();
+    for (const leaf of wanted.values()) this.getOrCreateLink(leaf).connect();
   }
 
   close(): void {
@@ -49,24 +51,24 @@
     this.links.clear();
   }
 
-  /** The leaf did not answer in its usual time, or was lost: others are asked for a while. */
+  /** Prefers other leaves for a while, after the leaf was late or its connection was lost. */
   avoid(leaf: LeafGateway): void {
-    const { clock } = this.parts.environment;
-    this.avoidedUntil.set(leaf.name, clock.now() + AVOIDED_MS);
+    const { clock } = this.linkOptions.environment;
+    this.avoidedUntil.set(leaf.name, clock.now() + AVOIDANCE_MS);
   }
 
   /**
-   * One of the first usable leaves of the group that is not in `excluded`: of
-   * two drawn by chance, the one with fewer gathers from here. Undefined when no
-   * connection is open.
+   * Chooses among the first usable leaves of the group that are not in `excluded`: of two drawn at
+   * random, the one with fewer gathers in progress from this root. Returns undefined when no leaf
+   * has an open connection and accepts gathers.
    */
   choose(group: LeafGroup, excluded: ReadonlySet<string>): LeafLink | undefined {
     const open = group.leaves.flatMap(({ name }) => {
       const link = excluded.has(name) ? undefined : this.links.get(name);
       return link !== undefined && link.isOpen && !link.isStopping ? [link] : [];
     });
-    const calm = open.filter((link) => !this.isAvoided(link) && !this.isBusy(link));
-    const usable = (calm.length > 0 ? calm : open).slice(0, group.owners);
+    const preferred = open.filter((link) => !this.isAvoided(link) && !this.isBusy(link));
+    const usable = (preferred.length > 0 ? preferred : open).slice(0, group.owners);
     const first = usable[Math.floor(this.random.nextFloat() * usable.length)];
     const second = usable[Math.floor(this.random.nextFloat() * usable.length)];
     if (first === undefined || second === undefined) return first;
@@ -74,19 +76,19 @@
   }
 
   private isAvoided({ leaf }: LeafLink): boolean {
-    const { clock } = this.parts.environment;
+    const { clock } = this.linkOptions.environment;
     return clock.now() < (this.avoidedUntil.get(leaf.name) ?? -Infinity);
   }
 
   private isBusy({ reportedAt, reportedLoad }: LeafLink): boolean {
-    const { clock } = this.parts.environment;
-    return clock.now() - reportedAt < LOAD_VALID_MS && reportedLoad >= BUSY_GATHERS;
+    const { clock } = this.linkOptions.environment;
+    return clock.now() - reportedAt < LOAD_REPORT_VALIDITY_MS && reportedLoad >= BUSY_GATHERS;
   }
 
-  private linkTo(leaf: LeafGateway): LeafLink {
+  private getOrCreateLink(leaf: LeafGateway): LeafLink {
     const known = this.links.get(leaf.name);
     if (known !== undefined) return known;
-    const link = new LeafLink(this.parts, leaf);
+    const link = new LeafLink(this.linkOptions, leaf);
     this.links.set(leaf.name, link);
     return link;
   }
--- a/src/evacuations/evacuation-orders.ts
+++ b/src/evacuations/evacuation-orders.ts
@@ -1,4 +1,4 @@
-/** Gives and reads orders to evacuate zones, through the replicated log. */
+/** Submits evacuation orders through the replicated log, and reads the evacuated zones. */
 import type { ReplicatedLog } from '../consensus/replicated-log.js';
 import { SectionTag, sectionCommand } from '../consensus/sectioned-state-machine.js';
 import { DriftwayError, ErrorLabel } from '../errors/driftway-error.js';
@@ -12,10 +12,10 @@
   type EvacuationRegister,
 } from './evacuation-register.js';
 
-/** Longest name of a zone; bounds what an order may add to the replicated state. */
+/** Maximum length of a zone's name, in characters; bounds what an order adds to the state. */
 const MAXIMUM_ZONE_LENGTH = 255;
 
-/** No zone of the name can be evacuated; nothing was changed. */
+/** The zone does not exist or cannot be registered; nothing was changed. */
 export class EvacuationRefusedError extends DriftwayError {
   constructor(reason: string) {
     const labels = [ErrorLabel.NotRun, ErrorLabel.BadInput];
@@ -23,61 +23,63 @@
   }
 }
 
-function unknownZone(zone: string): EvacuationRefusedError {
+function unknownZoneError(zone: string): EvacuationRefusedError {
   return new EvacuationRefusedError(`there is no zone "${zone}"`);
 }
 
-/** What orders are given through. */
+/** Dependencies of {@link EvacuationOrders}. */
 export interface EvacuationOrdersOptions {
   readonly log: ReplicatedLog;
   readonly register: EvacuationRegister;
-  /** Zones of the deployment; empty when they are not known, and then any name is taken. */
+  /** Zones of the deployment; empty when they are not known, in which case any name is accepted. */
   readonly knownZones: ReadonlySet<string>;
   readonly logger: Logger;
 }
 
-/** See the module comment. */
+/** Calls go through the log, except {@link EvacuationOrders.appliedZones}, which reads locally. */
 export class EvacuationOrders {
   constructor(private readonly options: EvacuationOrdersOptions) {}
 
   /**
-   * Resolves once the order is durable; the same order again changes nothing and resolves too.
+   * Resolves once the order is durable. Idempotent: repeating an order changes nothing.
    *
-   * @throws EvacuationRefusedError when there is no such zone.
+   * @throws EvacuationRefusedError when there is no such zone, or too many zones are registered.
    * @throws NotProposedError when nothing was changed.
    * @throws ProposalOutcomeUnknownError when the order may still be carried out.
    */
-  async give(order: EvacuationOrder): Promise<EvacuationOutcome> {
-    this.check(order.zone);
+  async submit(order: EvacuationOrder): Promise<EvacuationOutcome> {
+    this.checkZone(order.zone);
     const command = sectionCommand(SectionTag.Evacuations, encodeEvacuationOrder(order));
     const { result } = await this.options.log.propose(command);
     const outcome = decodeEvacuationOutcome(result);
     this.options.logger.info('evacuation ordered', { ...order, ...outcome });
     if (outcome.status === EvacuationOrderStatus.Refused) {
-      throw new EvacuationRefusedError('too many zones were evacuated before');
+      throw new EvacuationRefusedError(
+        'the register is full, as too many zones were evacuated before',
+      );
     }
     return outcome;
   }
 
   /**
-   * The evacuated zones, with every order that was acknowledged before the call.
+   * Returns the evacuated zones, including every order acknowledged before the call.
    *
-   * @throws NoQuorumError when this controller may lack some of them.
+   * @throws NoQuorumError when this controller cannot confirm that its state is up to date.
    */
-  async read(): Promise<readonly string[]> {
+  async readZones(): Promise<readonly string[]> {
     await this.options.log.readBarrier();
-    return this.applied();
+    return this.appliedZones();
   }
 
-  /** The evacuated zones as far as orders are applied here. */
-  applied(): string[] {
+  /** Returns the evacuated zones as of the last order applied on this controller; may be stale. */
+  appliedZones(): string[] {
     return this.options.register.evacuatedZones();
   }
 
-  private check(zone: string): void {
+  private checkZone(zone: string): void {
     const { knownZones } = this.options;
-    const isNamed = zone.length > 0 && zone.length <= MAXIMUM_ZONE_LENGTH;
+    const hasValidLength = zone.length > 0 && zone.length <= MAXIMUM_ZONE_LENGTH;
     const isKnown = knownZones.size === 0 || knownZones.has(zone);
-    if (!isNamed || !isKnown) throw unknownZone(zone);
+    if (!hasValidLength || !isKnown) throw unknownZoneError(zone);
   }
 }
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -15,7 +15,7 @@
 
   /** Applies a zone's order from a controller, unless it is no newer than the known one. */
   take(evacuation: ZoneEvacuation): void {
-    if (!this.evacuatedZones.take(evacuation)) return;
+    if (!this.evacuatedZones.update(evacuation)) return;
     const { zones } = this.evacuatedZones;
     this.context.targets.useEvacuatedZones(zones);
     this.context.metrics.evacuatedZones.set(zones.size);
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -138,7 +138,7 @@
     const { clock } = this.environment;
     const { stopGraceMs } = this.configuration;
     this.logger.info('gateway stopping', { inFlight: this.inFlight });
-    this.aggregation.stopTaking();
+    this.aggregation.stopAccepting();
     await drainCallers({
       clock,
       graceMs: stopGraceMs,
--- a/src/gateway/gateway-maintenance.ts
+++ b/src/gateway/gateway-maintenance.ts
@@ -44,7 +44,7 @@
     return keepConnectionsWarm({
       clock,
       random,
-      targets: () => aggregation.firstAsked(),
+      targets: () => aggregation.preferredTargets(),
       isWorthIt: (service) => this.shouldKeepWarm(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
@@ -56,7 +56,7 @@
     const { context, aggregation, endpoint } = this.options;
     const { table } = endpoint;
     if (table === undefined) return context.targets.size <= MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES;
-    return table.isShard(service) && aggregation.asksItself(service);
+    return table.isShard(service) && aggregation.queriesDirectly(service);
   }
 
   private async forgetSilent(): Promise<void> {
--- a/src/routes/read-route-document.ts
+++ b/src/routes/read-route-document.ts
@@ -1,4 +1,4 @@
-/** Reads a route document from bytes and checks what its schema cannot say. */
+/** Parses a route document from bytes and validates what its schema cannot express. */
 import { DriftwayError, ErrorLabel } from '../errors/driftway-error.js';
 import {
   MAXIMUM_ROUTE_DOCUMENT_BYTES,
@@ -6,73 +6,77 @@
   type Route,
   type RouteDocument,
 } from './route-document.js';
-import { problemsOfTenants } from './problems-of-tenants.js';
+import { findTenantProblems } from './tenant-problems.js';
 
-/** The bytes are no valid route document; nothing of it was taken. */
+/** The bytes are not a valid route document; no part of it was applied. */
 export class InvalidRouteDocumentError extends DriftwayError {
   constructor(
-    /** Every problem, such as `routes.0.timeoutMs: Too small`. */
+    /** One message for each problem, such as `routes.0.timeoutMs: Too small`. */
     readonly problems: readonly string[],
   ) {
     super(problems.join('; '), { step: 'read route document', labels: [ErrorLabel.BadInput] });
   }
 }
 
-/** The services that a route may send requests to. */
+/** Names of the services to which the route may send requests. */
 export function servicesOf(route: Route): readonly string[] {
   if (route.shards !== undefined) return route.shards;
   if (route.split !== undefined) return route.split.map(({ service }) => service);
   return route.service === undefined ? [] : [route.service];
 }
 
-function problemsOfTargets(route: Route, place: string): string[] {
+function findTargetProblems(route: Route, path: string): string[] {
   const targets = [route.service, route.split, route.shards].filter((one) => one !== undefined);
-  if (targets.length !== 1) return [`${place}: name one of service, split and shards`];
+  if (targets.length !== 1) return [`${path}: expected exactly one of service, split and shards`];
   if (route.shards !== undefined && new Set(route.shards).size < route.shards.length) {
-    return [`${place}.shards: a shard is named twice`];
+    return [`${path}.shards: expected unique names, found a shard twice`];
   }
   if (route.split === undefined) return [];
   const total = route.split.reduce((sum, { weight }) => sum + weight, 0);
-  return total > 0 ? [] : [`${place}.split: the weights sum to 0`];
+  return total > 0 ? [] : [`${path}.split: expected weights with a sum above 0`];
 }
 
-function problemsOfDocument(document: RouteDocument): string[] {
+function findDocumentProblems(document: RouteDocument): string[] {
   const problems: string[] = [];
   const services = new Set(document.services.map(({ name }) => name));
-  if (services.size < document.services.length) problems.push('services: a name is used twice');
-  const places = new Set<string>();
+  if (services.size < document.services.length)
+    problems.push('services: expected unique names, found a name twice');
+  const hostsAndPrefixes = new Set<string>();
   for (const [index, route] of document.routes.entries()) {
-    const place = `routes.${index}`;
-    problems.push(...problemsOfTargets(route, place));
+    const path = `routes.${index}`;
+    problems.push(...findTargetProblems(route, path));
     for (const service of servicesOf(route)) {
-      if (!services.has(service)) problems.push(`${place}: there is no service "${service}"`);
+      if (!services.has(service)) problems.push(`${path}: there is no service "${service}"`);
     }
     const key = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-    if (places.has(key)) problems.push(`${place}: another route has this host and prefix`);
-    places.add(key);
+    if (hostsAndPrefixes.has(key))
+      problems.push(`${path}: another route has the same host and path prefix`);
+    hostsAndPrefixes.add(key);
   }
-  problems.push(...problemsOfTenants(document.tenants ?? []));
+  problems.push(...findTenantProblems(document.tenants ?? []));
   return problems;
 }
 
-/** Without the text around it, which the error quotes: it may hold an API key. */
-function placeOfJsonError({ message }: Error): string {
+/**
+ * Position of a JSON syntax error. The error's own message quotes text that may contain an API key.
+ */
+function locateJsonError({ message }: Error): string {
   return /at position \d+/.exec(message)?.[0] ?? 'somewhere';
 }
 
 function parseJson(bytes: Uint8Array): unknown {
   if (bytes.length > MAXIMUM_ROUTE_DOCUMENT_BYTES) {
-    const limit = `at most ${MAXIMUM_ROUTE_DOCUMENT_BYTES}`;
-    throw new InvalidRouteDocumentError([`${bytes.length} bytes; ${limit}`]);
+    const limit = `expected at most ${MAXIMUM_ROUTE_DOCUMENT_BYTES}`;
+    throw new InvalidRouteDocumentError([`the document has ${bytes.length} bytes, ${limit}`]);
   }
   try {
     return JSON.parse(new TextDecoder('utf-8', { fatal: true }).decode(bytes)) as unknown;
   } catch (error) {
-    throw new InvalidRouteDocumentError([`not JSON, ${placeOfJsonError(error as Error)}`]);
+    throw new InvalidRouteDocumentError([`not JSON, ${locateJsonError(error as Error)}`]);
   }
 }
 
-/** @throws InvalidRouteDocumentError naming every problem. */
+/** @throws InvalidRouteDocumentError with every problem that was found. */
 export function readRouteDocument(bytes: Uint8Array): RouteDocument {
   const parsed = routeDocumentSchema.safeParse(parseJson(bytes));
   if (!parsed.success) {
@@ -81,7 +85,7 @@
     );
     throw new InvalidRouteDocumentError(problems);
   }
-  const problems = problemsOfDocument(parsed.data);
+  const problems = findDocumentProblems(parsed.data);
   if (problems.length > 0) throw new InvalidRouteDocumentError(problems);
   return parsed.data;
 }
--- a/test/aggregation/leaf-assignment.test.ts
+++ b/test/aggregation/leaf-assignment.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { LeafAssignment } from '../../src/aggregation/leaf-assignment.js';
-import { GROUP_OWNERS, NEAR_GROUP_OWNERS } from '../../src/aggregation/leaf-group.js';
-import type { RootPlace } from '../../src/aggregation/group-home.js';
+import { GROUP_OWNERS, SAME_ZONE_GROUP_OWNERS } from '../../src/aggregation/leaf-group.js';
+import type { RootLocation } from '../../src/aggregation/zone-selection.js';
 import type { LeafGateway } from '../../src/directory/leaf-gateway.js';
 import type { ServiceTargets } from '../../src/gateway/service-targets.js';
 
@@ -15,7 +15,7 @@
   })),
 );
 
-/** Replicas of shard n in the zones n and n + 1. */
+/** Zones of a shard's replicas: shard n has replicas in the zones n and n + 1, modulo 3. */
 function zonesOf(shard: string): string[] {
   const number = Number(shard.split('-')[1]);
   return [ZONES[number % 3] ?? '', ZONES[(number + 1) % 3] ?? ''];
@@ -34,13 +34,13 @@
 }
 
 describe('the division of shards among leaves', () => {
-  it('puts every shard into one group, none longer than allowed', () => {
+  it('puts every shard into exactly one group, none above the maximum size', () => {
     const groups = createAssignment(LEAVES).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards).sort()).toEqual([...SHARDS].sort());
     for (const { shards } of groups) expect(shards.length).toBeLessThanOrEqual(8);
   });
 
-  it('gives a group to leaves of a zone with replicas of each of its shards', () => {
+  it('assigns a group to leaves of a zone with replicas of each of its shards', () => {
     for (const { shards, leaves } of createAssignment(LEAVES).groupsOf(SHARDS)) {
       for (const { zone } of leaves.slice(0, GROUP_OWNERS)) {
         for (const shard of shards) expect(zonesOf(shard)).toContain(zone);
@@ -48,79 +48,88 @@
     }
   });
 
-  it('gives no leaf two groups while there are enough leaves', () => {
+  it('makes no leaf the owner of two groups while there are enough leaves', () => {
     const owners = ownersOf(LEAVES);
     expect(new Set(owners).size).toBe(owners.length);
   });
 
-  it('is the same at gateways that are told of the leaves in another order', () => {
+  it('does not depend on the order of the leaves', () => {
     const other = [...LEAVES].reverse();
     expect(createAssignment(other).groupsOf(SHARDS)).toEqual(
       createAssignment(LEAVES).groupsOf(SHARDS),
     );
   });
 
-  it('moves few groups when a leaf goes', () => {
+  it('replaces only the lost leaf as an owner', () => {
     const before = ownersOf(LEAVES);
     const [gone] = before;
     const after = ownersOf(LEAVES.filter(({ name }) => name !== gone));
     expect(before.filter((name) => !after.includes(name))).toEqual([gone]);
   });
 
-  it('uses leaves of other zones where a zone with replicas has none', () => {
+  it('uses leaves of other zones where no zone with replicas has leaves', () => {
     const far = LEAVES.filter(({ zone }) => zone === 'c');
     const groups = createAssignment(far).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards)).toHaveLength(SHARDS.length);
   });
 
-  it('has no groups while no leaf is known', () => {
+  it('is empty while no leaf is known', () => {
     expect(createAssignment([]).groupsOf(SHARDS)).toEqual([]);
   });
 });
 
-/** Replicas of each shard in all zones. */
+/** Zones of a shard's replicas when every zone has one. */
 function everywhere(): string[] {
   return ZONES;
 }
 
-function createNear(
-  nearTo: RootPlace,
+function createSameZoneAssignment(
+  sameZoneAs: RootLocation,
   leaves: readonly LeafGateway[] = LEAVES,
-  holders: (shard: string) => string[] = everywhere,
+  replicaZones: (shard: string) => string[] = everywhere,
 ): LeafAssignment {
-  const of = (shard: string): unknown => holders(shard).map((zone) => ({ entry: { zone } }));
+  const of = (shard: string): unknown => replicaZones(shard).map((zone) => ({ entry: { zone } }));
   const targets = { of, size: 2 * SHARDS.length } as unknown as ServiceTargets;
   const parts = { now: () => 0, targets, leaves: () => leaves, shardsPerGroup: 8 };
-  return new LeafAssignment({ ...parts, nearTo });
+  return new LeafAssignment({ ...parts, sameZoneAs });
 }
 
-describe('the division of shards among leaves of the own zone', () => {
-  it.each(ZONES)('asks leaves of zone %s for callers of that zone', (zone) => {
-    const groups = createNear({ name: 'root', zone }).groupsOf(SHARDS);
+describe("the division of shards among leaves of the root's zone", () => {
+  it.each(ZONES)('assigns all shards of a root in zone %s to leaves of that zone', (zone) => {
+    const groups = createSameZoneAssignment({ name: 'root', zone }).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards).sort()).toEqual([...SHARDS].sort());
     for (const { leaves, owners } of groups) {
-      expect(owners).toBe(NEAR_GROUP_OWNERS);
+      expect(owners).toBe(SAME_ZONE_GROUP_OWNERS);
       for (const leaf of leaves.slice(0, owners)) expect(leaf.zone).toBe(zone);
     }
   });
 
   it('is the same at all gateways of a zone', () => {
-    const [one, other] = ['root-1', 'root-2'].map((name) => createNear({ name, zone: 'a' }));
+    const [one, other] = ['root-1', 'root-2'].map((name) =>
+      createSameZoneAssignment({ name, zone: 'a' }),
+    );
     expect(one?.groupsOf(SHARDS)).toEqual(other?.groupsOf(SHARDS));
   });
 
-  it('gives a zone without replicas the groups and leaves of one that holds them', () => {
+  it('gives a root in a zone without replicas the groups and leaves of a zone with replicas', () => {
     const leaves = [...LEAVES, { name: 'd-0', zone: 'd', address: '10.0.1.0:1' }];
-    const far = createNear({ name: 'root', zone: 'd' }, leaves).directGroupsOf(SHARDS);
-    const homes = new Set(far.map(({ leaves: [first] }) => first?.zone ?? ''));
-    expect(homes.size).toBe(1);
-    const [home = ''] = homes;
-    expect(far).toEqual(createNear({ name: 'other', zone: home }, leaves).groupsOf(SHARDS));
+    const far = createSameZoneAssignment({ name: 'root', zone: 'd' }, leaves).directGroupsOf(
+      SHARDS,
+    );
+    const zones = new Set(far.map(({ leaves: [first] }) => first?.zone ?? ''));
+    expect(zones.size).toBe(1);
+    const [replicaZone = ''] = zones;
+    expect(far).toEqual(
+      createSameZoneAssignment({ name: 'other', zone: replicaZone }, leaves).groupsOf(SHARDS),
+    );
   });
 
-  it('gives a zone without replicas one relay, and another zone to stand by', () => {
+  it('gives a root in a zone without replicas one relay, and a standby in another zone', () => {
     const leaves = [...LEAVES, { name: 'd-0', zone: 'd', address: '10.0.1.0:1' }];
-    const [relayed, ...others] = createNear({ name: 'root', zone: 'd' }, leaves).groupsOf(SHARDS);
+    const [relayed, ...others] = createSameZoneAssignment(
+      { name: 'root', zone: 'd' },
+      leaves,
+    ).groupsOf(SHARDS);
     expect(others).toEqual([]);
     expect(relayed?.isRelayed).toBe(true);
     expect([...(relayed?.shards ?? [])].sort()).toEqual([...SHARDS].sort());
@@ -130,11 +139,11 @@
     expect(third).not.toBe('d');
   });
 
-  it('moves one shard alone when the zone loses its replica of it', () => {
-    const holders = (shard: string): string[] => (shard === 'shard-7' ? ['b', 'c'] : ZONES);
+  it('moves only the shard whose replica the zone has lost', () => {
+    const replicaZones = (shard: string): string[] => (shard === 'shard-7' ? ['b', 'c'] : ZONES);
     const place = { name: 'root', zone: 'a' };
-    const before = createNear(place).directGroupsOf(SHARDS);
-    const after = createNear(place, LEAVES, holders).directGroupsOf(SHARDS);
+    const before = createSameZoneAssignment(place).directGroupsOf(SHARDS);
+    const after = createSameZoneAssignment(place, LEAVES, replicaZones).directGroupsOf(SHARDS);
     const near = after.filter(({ zone }) => zone === 'a');
     expect(near).toEqual(
       before.map((group) => ({ ...group, shards: group.shards.filter((s) => s !== 'shard-7') })),
@@ -143,11 +152,11 @@
     expect(far.map(({ shards }) => shards)).toEqual([['shard-7']]);
   });
 
-  it('gives a relay the shards of which the zone holds no replica, where they are many', () => {
+  it('assigns the shards without a replica in the zone to a relay when they are many', () => {
     const place = { name: 'root', zone: 'a' };
     const lacksEachFourth = (shard: string): string[] =>
       Number(shard.split('-')[1]) % 4 === 0 ? ['b', 'c'] : ZONES;
-    const groups = createNear(place, LEAVES, lacksEachFourth).groupsOf(SHARDS);
+    const groups = createSameZoneAssignment(place, LEAVES, lacksEachFourth).groupsOf(SHARDS);
     const far = groups.filter(({ isRelayed }) => isRelayed);
     expect(far).toHaveLength(1);
     expect(far[0]?.shards).toHaveLength(SHARDS.length / 4);
@@ -156,9 +165,9 @@
     expect(groups.flatMap(({ shards }) => shards).sort()).toEqual([...SHARDS].sort());
   });
 
-  it('uses another zone where the own one has no leaves', () => {
+  it('uses other zones when the zone of the root has no leaves', () => {
     const leaves = LEAVES.filter(({ zone }) => zone !== 'a');
-    const groups = createNear({ name: 'root', zone: 'a' }, leaves).groupsOf(SHARDS);
+    const groups = createSameZoneAssignment({ name: 'root', zone: 'a' }, leaves).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards)).toHaveLength(SHARDS.length);
   });
 });
--- a/test/evacuations/evacuation-register.test.ts
+++ b/test/evacuations/evacuation-register.test.ts
@@ -10,7 +10,7 @@
   type EvacuationOutcome,
 } from '../../src/evacuations/evacuation-register.js';
 
-function give(register: EvacuationRegister, order: EvacuationOrder): EvacuationOutcome {
+function applyOrder(register: EvacuationRegister, order: EvacuationOrder): EvacuationOutcome {
   return decodeEvacuationOutcome(register.apply(encodeEvacuationOrder(order)));
 }
 
@@ -20,29 +20,36 @@
 );
 
 describe('EvacuationRegister', () => {
-  it('takes the same order again without a change', () => {
+  it('changes nothing when an order is repeated, and reports that', () => {
     const register = new EvacuationRegister();
     const start = { zone: 'a', isEvacuated: true };
-    expect(give(register, start)).toEqual({ status: EvacuationOrderStatus.Changed, revision: 1 });
-    expect(give(register, start)).toEqual({ status: EvacuationOrderStatus.Unchanged, revision: 1 });
+    expect(applyOrder(register, start)).toEqual({
+      status: EvacuationOrderStatus.Changed,
+      revision: 1,
+    });
+    expect(applyOrder(register, start)).toEqual({
+      status: EvacuationOrderStatus.Unchanged,
+      revision: 1,
+    });
     expect(register.evacuatedZones()).toEqual(['a']);
   });
 
-  it('takes an end without a start', () => {
+  it('accepts the end of an evacuation that was never started, without a change', () => {
     const register = new EvacuationRegister();
-    const { status } = give(register, { zone: 'a', isEvacuated: false });
+    const { status } = applyOrder(register, { zone: 'a', isEvacuated: false });
     expect(status).toBe(EvacuationOrderStatus.Unchanged);
   });
 
-  it('holds the last order of each zone, also when it is restored from a snapshot', () => {
+  it('keeps the last order of each zone, also after it was restored from a snapshot', () => {
     fc.assert(
       fc.property(ORDERS, ORDERS, (before, after) => {
         const register = new EvacuationRegister();
-        for (const order of before) give(register, order);
+        for (const order of before) applyOrder(register, order);
         const restored = new EvacuationRegister();
-        give(restored, { zone: 'c', isEvacuated: true });
+        applyOrder(restored, { zone: 'c', isEvacuated: true });
         restored.restore(register.snapshot());
-        for (const order of after) expect(give(restored, order)).toEqual(give(register, order));
+        for (const order of after)
+          expect(applyOrder(restored, order)).toEqual(applyOrder(register, order));
         expect([...restored.all()]).toEqual([...register.all()]);
         const last = new Map([...before, ...after].map((order) => [order.zone, order.isEvacuated]));
         const evacuated = [...last].filter(([, isEvacuated]) => isEvacuated).map(([zone]) => zone);
@@ -51,31 +58,31 @@
     );
   });
 
-  it('remembers a bounded number of zones', () => {
+  it('refuses a new zone when it is full, and still accepts orders for its zones', () => {
     const register = new EvacuationRegister();
     for (let index = 0; index < 1_000; index += 1) {
-      give(register, { zone: `zone-${index}`, isEvacuated: true });
+      applyOrder(register, { zone: `zone-${index}`, isEvacuated: true });
     }
-    const { status } = give(register, { zone: 'one more', isEvacuated: true });
+    const { status } = applyOrder(register, { zone: 'one more', isEvacuated: true });
     expect(status).toBe(EvacuationOrderStatus.Refused);
-    expect(give(register, { zone: 'zone-7', isEvacuated: false }).revision).toBe(1_001);
+    expect(applyOrder(register, { zone: 'zone-7', isEvacuated: false }).revision).toBe(1_001);
   });
 });
 
 describe('EvacuatedZones', () => {
-  it('comes to the same whatever the order in which word of controllers comes', () => {
+  it('reaches the same state whatever the order in which messages of controllers arrive', () => {
     fc.assert(
       fc.property(ORDERS, fc.infiniteStream(fc.nat()), (orders, draws) => {
         const register = new EvacuationRegister();
-        const words = orders.flatMap((order) => {
-          give(register, order);
+        const messages = orders.flatMap((order) => {
+          applyOrder(register, order);
           return [...register.all()];
         });
         const known = new EvacuatedZones();
-        const left = [...words, ...register.all()];
-        while (left.length > 0) {
-          const index = Number(draws.next().value) % left.length;
-          for (const word of left.splice(index, 1)) known.take(word);
+        const remaining = [...messages, ...register.all()];
+        while (remaining.length > 0) {
+          const index = Number(draws.next().value) % remaining.length;
+          for (const message of remaining.splice(index, 1)) known.update(message);
         }
         expect([...known.zones].sort()).toEqual(register.evacuatedZones());
       }),
