--- a/test/policies/adaptive-admission-policy.test.ts
+++ b/test/policies/adaptive-admission-policy.test.ts
@@ -41,8 +41,7 @@
 
   private async admitOne(): Promise<AdmissionTicket> {
     const outcome = await this.admit('default');
-    if (!isTicket(outcome))
-      throw new Error('expected admission below the limit, but the request was refused');
+    if (!isTicket(outcome)) throw new Error('refused');
     return outcome;
   }
 
@@ -57,8 +56,7 @@
     await saturated.fill();
     const longDeadline = saturated.admit('default', 2_000);
     const shortDeadline = await saturated.admit('default', 200);
-    if (isTicket(shortDeadline))
-      throw new Error('expected a refusal, but the request was admitted');
+    if (isTicket(shortDeadline)) throw new Error('admitted');
     expect(shortDeadline.retryAfter).toBeGreaterThan(0);
     saturated.releaseOne();
     expect(isTicket(await longDeadline)).toBe(true);
--- a/test/quarantine/abandoned-attempts.test.ts
+++ b/test/quarantine/abandoned-attempts.test.ts
@@ -7,8 +7,8 @@
   isTrial: false,
 };
 
-describe('abandoned attempts', () => {
-  it('are what a replica may have worked on, once', () => {
+describe('AbandonedAttempts of a gateway', () => {
+  it('returns the abandoned attempts of a lost replica once', () => {
     const abandoned = new AbandonedAttempts(new ManualClock());
     abandoned.record('a', ATTEMPT, 1_000);
     expect(abandoned.takeAll('b')).toEqual([]);
@@ -16,7 +16,7 @@
     expect(abandoned.takeAll('a')).toEqual([]);
   });
 
-  it('are not, once their time at the replica is over', () => {
+  it('does not return attempts whose time at the replica has passed', () => {
     const clock = new ManualClock();
     const abandoned = new AbandonedAttempts(clock);
     abandoned.record('a', ATTEMPT, 300);
@@ -27,7 +27,7 @@
     expect(abandoned.takeAll('b')).toEqual([]);
   });
 
-  it('are remembered in a bounded number', () => {
+  it('keeps a bounded number of attempts per replica', () => {
     const abandoned = new AbandonedAttempts(new ManualClock());
     for (let index = 0; index < 10_000; index += 1) abandoned.record('a', ATTEMPT, 1_000);
     expect(abandoned.takeAll('a').length).toBeLessThan(100);
--- a/test/quarantine/crash-guard.test.ts
+++ b/test/quarantine/crash-guard.test.ts
@@ -12,7 +12,7 @@
 import { ManualClock } from '../support/manual-clock.js';
 
 const REQUEST = { fingerprint: 'f', description: 'GET desk.example/q' };
-const nothing = (): void => undefined;
+const noop = (): void => undefined;
 
 interface Parts {
   readonly guard: CrashGuard;
@@ -20,7 +20,11 @@
   readonly sent: QuarantineChange[];
 }
 
-function createGuard({ isOn = true, hasTrials = true, isFollowed = true } = {}): Parts {
+function createGuard({
+  isEnabled = true,
+  areTrialsEnabled = true,
+  isConnected = true,
+} = {}): Parts {
   const clock = new ManualClock();
   const sent: QuarantineChange[] = [];
   const guard = new CrashGuard({
@@ -29,43 +33,43 @@
     registry: new Registry(),
     gateway: 'gateway-1',
     send: (change) => {
-      if (isFollowed) sent.push(change);
-      return isFollowed;
+      if (isConnected) sent.push(change);
+      return isConnected;
     },
-    isEnabled: isOn,
-    areTrialsEnabled: hasTrials,
+    isEnabled,
+    areTrialsEnabled,
   });
   return { guard, clock, sent };
 }
 
-function agreed(state: QuarantineState, revision: number): QuarantineEntry {
+function replicatedEntry(state: QuarantineState, revision: number): QuarantineEntry {
   return { ...REQUEST, state, revision, trialHolder: '', ended: ['a', 'b', 'c'], endedInTrial: [] };
 }
 
-describe('the guard against requests that crash replicas', () => {
-  it('lets one sending at a time try a request under which a replica ended', () => {
+describe('CrashGuard of a gateway', () => {
+  it('admits one trial at a time of a request with which a replica terminated', () => {
     const { guard } = createGuard();
-    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Allowed);
+    expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Allowed);
     guard.recordTermination(REQUEST, 'a', false);
-    const woken = vi.fn();
-    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Trial);
-    expect(guard.admit('f', woken)).toBe(CrashGuardDecision.Wait);
+    const onChange = vi.fn();
+    expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Trial);
+    expect(guard.admit('f', onChange)).toBe(CrashGuardDecision.Wait);
     guard.endTrial('f', TrialResult.Undecided);
-    expect(woken).toHaveBeenCalledTimes(1);
-    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Trial);
-    expect(guard.admit('other', nothing)).toBe(CrashGuardDecision.Allowed);
+    expect(onChange).toHaveBeenCalledTimes(1);
+    expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Trial);
+    expect(guard.admit('other', noop)).toBe(CrashGuardDecision.Allowed);
   });
 
-  it('refuses it after two more ended in trials', () => {
+  it('refuses a request after two more replicas terminated in its trials', () => {
     const { guard } = createGuard();
     guard.recordTermination(REQUEST, 'a', false);
     guard.recordTermination(REQUEST, 'b', true);
     expect(guard.isQuarantined('f')).toBe(false);
     guard.recordTermination(REQUEST, 'c', true);
-    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Refused);
+    expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Refused);
   });
 
-  it('holds nothing against a request that a replica answers, before or after', () => {
+  it('clears a request that a replica answers, also of terminations shortly after the answer', () => {
     const { guard, clock } = createGuard();
     for (const replica of ['a', 'b', 'c', 'd']) guard.recordTermination(REQUEST, replica, true);
     guard.recordAnswer('f');
@@ -77,24 +81,24 @@
     expect(guard.isQuarantined('f')).toBe(true);
   });
 
-  it('speaks for a request that it saw answered a moment ago', () => {
+  it('does not refuse a quarantined request that it saw answered recently, and reports the answer', () => {
     const { guard, sent } = createGuard();
     guard.recordAnswer('f');
-    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
+    guard.applyEntry(replicatedEntry(QuarantineState.Quarantined, 4));
     expect(guard.isQuarantined('f')).toBe(false);
     expect(sent).toMatchObject([{ kind: QuarantineChangeKind.Answer, fingerprint: 'f' }]);
   });
 
-  it('goes by the newest word of the controllers, whoever sends it', () => {
+  it('applies only the newest replicated entry of a request', () => {
     const { guard } = createGuard();
-    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
+    guard.applyEntry(replicatedEntry(QuarantineState.Quarantined, 4));
     expect(guard.isQuarantined('f')).toBe(true);
-    guard.applyEntry(agreed(QuarantineState.Lifted, 5));
-    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
+    guard.applyEntry(replicatedEntry(QuarantineState.Lifted, 5));
+    guard.applyEntry(replicatedEntry(QuarantineState.Quarantined, 4));
     expect(guard.stateOf('f')).toBe(QuarantineState.Observed);
   });
 
-  it('counts abandoned attempts when their replica is found lost', () => {
+  it('counts a termination for abandoned attempts when their replica is lost', () => {
     const { guard } = createGuard();
     guard.recordAbandonedAttempt('a', { request: REQUEST, isTrial: false }, 1_000);
     guard.recordReplicaLoss('b');
@@ -103,22 +107,22 @@
     expect(guard.isSuspected('f')).toBe(true);
   });
 
-  it('lets everything pass when it is off', () => {
-    const { guard } = createGuard({ isOn: false });
+  it('admits every request when it is disabled', () => {
+    const { guard } = createGuard({ isEnabled: false });
     for (const replica of ['a', 'b', 'c', 'd']) guard.recordTermination(REQUEST, replica, true);
-    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
-    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Allowed);
+    guard.applyEntry(replicatedEntry(QuarantineState.Quarantined, 4));
+    expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Allowed);
   });
 
-  it('refuses after three replicas when it makes no trials', () => {
-    const { guard } = createGuard({ hasTrials: false });
+  it('refuses a request after three terminated replicas when trials are disabled', () => {
+    const { guard } = createGuard({ areTrialsEnabled: false });
     for (const replica of ['a', 'b']) guard.recordTermination(REQUEST, replica, false);
-    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Allowed);
+    expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Allowed);
     guard.recordTermination(REQUEST, 'c', false);
-    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Refused);
+    expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Refused);
   });
 
-  it('reports a bounded number of requests a second, trials and answers first', () => {
+  it('reports a bounded number of requests per second, terminations in trials at once', () => {
     const { guard, clock, sent } = createGuard();
     for (let index = 0; index < 5_000; index += 1) {
       guard.recordTermination({ fingerprint: `f-${index}`, description: '' }, 'a', false);
--- a/test/quarantine/crashing-fleet.ts
+++ b/test/quarantine/crashing-fleet.ts
@@ -1,4 +1,4 @@
-/** Gateways over replicas that one request crashes, each a few seconds later back as another one. */
+/** Gateways over replicas that crash on one request and restart a few seconds later. */
 import type { ExchangeReplica, ReplicaRun } from '../../lab/exchange/exchange-replica.js';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
 import type { HttpClientResponse } from '../../src/seams/http.js';
@@ -10,15 +10,15 @@
   type TestTenant,
 } from '../gateway/gateway-harness.js';
 
-/** When the first life of each replica began, where they say it. Unix milliseconds. */
+/** Start time of each replica's first incarnation, where replicas report one. Unix milliseconds. */
 const FIRST_BORN_AT = 1_790_000_000_000;
-/** Until a replica that crashed is back. Milliseconds. */
+/** Time from a replica's crash to its restart. Milliseconds. */
 const RESTART_MS = 2_500;
-/** In which what one gateway has seen is known at all of them. Milliseconds. */
+/** Time in which one gateway's evidence reaches all gateways. Milliseconds. */
 export const PROPAGATION_MS = 4_000;
-/** Replicas that a request may crash before it counts as the cause. */
+/** Replicas that a request may crash before it must be suspected. */
 export const TOLERATED_CRASHES = 3;
-/** Sendings of callers that may reach replicas after that. */
+/** Requests of callers that may reach replicas after that. */
 export const TOLERATED_LATE_REQUESTS = 3;
 
 /** One crash of a replica. */
@@ -28,7 +28,7 @@
   readonly at: number;
 }
 
-/** What a fleet consists of. */
+/** Configuration of a {@link CrashingFleet}. */
 export interface CrashingFleetOptions {
   readonly services: readonly string[];
   readonly replicasPerService: number;
@@ -36,20 +36,20 @@
   /** Absent: requests need no API key. */
   readonly tenants?: readonly TestTenant[];
   readonly gateways?: GatewayOverrides;
-  /** Whether replicas stop work on a request whose connection was closed. */
+  /** Whether replicas cancel a request when its connection is closed; true by default. */
   readonly dropsAbandoned?: boolean;
   readonly workMs?: number;
   readonly seed?: number;
-  /** Whether replicas come back under the ids that they had. */
+  /** Whether replicas restart under the same replica ids. */
   readonly keepsIds?: boolean;
-  /** Of the replicas of a service, in turn. */
+  /** Zones of the replicas of a service, assigned round-robin. */
   readonly zones?: readonly string[];
 }
 
-/** See the module comment. */
+/** Records every crash, and what each replica ran. */
 export class CrashingFleet {
   readonly crashes: Crash[] = [];
-  /** Those that ended, and those that run, with what to add to their clocks for the simulation's time. */
+  /** Terminated and running replicas, each with the offset from its clock to the simulation's time. */
   readonly replicas = new Map<ExchangeReplica, number>();
   private readonly terminated = new Set<ExchangeReplica>();
   private calls = 0;
@@ -60,7 +60,7 @@
     private readonly options: CrashingFleetOptions,
   ) {}
 
-  /** A fleet whose replicas crash when they run a request to `target`. */
+  /** Starts a fleet whose replicas crash when they run a request to `target`. */
   static async start(target: string, options: CrashingFleetOptions): Promise<CrashingFleet> {
     const harness = await GatewayHarness.start(options.seed ?? 7, options.gateways);
     const fleet = new CrashingFleet(harness, target, options);
@@ -78,12 +78,12 @@
     return fleet;
   }
 
-  /** Machines of the gateways. */
+  /** The gateways' machines. */
   get gateways(): readonly SimulatedMachine[] {
     return [this.harness.machine, ...this.harness.others.map(({ machine }) => machine)];
   }
 
-  /** Sends a request, by turns to each gateway. */
+  /** Sends a request to the next gateway, round-robin. */
   send(call: TestCall): Promise<HttpClientResponse> {
     const gateway = this.gateways[this.calls % this.gateways.length];
     this.calls += 1;
@@ -94,7 +94,7 @@
     return this.harness.simulation.settle(this.send(call));
   }
 
-  /** Sends the crashing request `count` times, a pause between. */
+  /** Sends the crashing request `count` times, with a pause after each; returns the statuses. */
   async repeat(count: number, pauseMs: number): Promise<number[]> {
     const statuses: number[] = [];
     for (let index = 0; index < count; index += 1) {
@@ -104,7 +104,7 @@
     return statuses;
   }
 
-  /** Sendings of callers that reached replicas so much later than the tolerated crashes. */
+  /** Ids of the crashing requests that reached replicas later than `PROPAGATION_MS` after the last tolerated crash. */
   lateRequests(): ReadonlySet<string> {
     const last = this.crashes[TOLERATED_CRASHES - 1];
     if (last === undefined) return new Set();
@@ -117,19 +117,19 @@
     return late;
   }
 
-  /** Replicas that have not ended. */
+  /** Replicas that have not terminated. */
   running(): ExchangeReplica[] {
     return [...this.replicas.keys()].filter((replica) => !this.terminated.has(replica));
   }
 
-  /** Ends the running replicas for which it holds, whatever they do; they come back as others. */
-  terminateReplicas(holds: (replica: ExchangeReplica) => boolean): void {
+  /** Terminates the running replicas that match, regardless of their work; they restart later. */
+  terminateReplicas(matches: (replica: ExchangeReplica) => boolean): void {
     for (const replica of this.running()) {
-      if (holds(replica)) this.terminate(replica);
+      if (matches(replica)) this.terminate(replica);
     }
   }
 
-  /** Lets a replica crash on the request, and come back as another one. */
+  /** Makes a replica crash on the request and restart afterwards, and records it. */
   private configure(replica: ExchangeReplica): void {
     replica.crashesOn = this.target;
     replica.dropsAbandoned = this.options.dropsAbandoned ?? true;
--- a/test/quarantine/crashing-request.test.ts
+++ b/test/quarantine/crashing-request.test.ts
@@ -1,10 +1,10 @@
 /*
- * One request crashed each replica that began to run it. As a request to all shards it went to
- * a replica of each shard at once, and its retries carried it to the second one of each, so that
- * a single sending of a caller ended all 40 replicas of a service. Gateways took each loss for a
- * fault of the replica alone and kept nothing of the request, so every repeat under another id
- * did the same again as soon as the replicas were back. After 155 replicas had ended under it,
- * it was still sent on:
+ * A request that crashes every replica that runs it must not spread. Without quarantine a
+ * fan-out request reached one replica of each shard at once, and its retries reached the second
+ * one of each, so a single request terminated all 40 replicas of a service. Gateways treated
+ * each termination as a fault of the replica alone and kept no record of the request, so every
+ * resend under another id did the same once the replicas had restarted. After 155 terminated
+ * replicas the request was still sent:
  *
  *   "message":"request failed","reason":"too many shards failed","shards":20,"missing":20,"sends":88
  *   "sentAtMs":0,"tookMs":8,"result":"broken: connection_lost"
@@ -30,31 +30,31 @@
   route: LOOK_UP,
   gateways: { others: 3 },
 };
-/** Replicas that end under a suspected request before it is refused. */
+/** Replicas that terminate in trials of a suspected request before it is quarantined. */
 const TRIALS = 2;
-/** Beyond the time in which what one gateway has seen is known at all. Milliseconds. */
+/** Longer than one gateway's evidence takes to reach all gateways. Milliseconds. */
 const LONG_PAUSE_MS = 5_000;
 
 describe('a request that crashes every replica that runs it', () => {
-  it('to all shards reaches replicas a few times at most over all gateways', async () => {
+  it('reaches replicas a bounded number of times over all gateways when it fans out to all shards', async () => {
     const fleet = await CrashingFleet.start('/q/crash', FAN_OUT_FLEET);
     await fleet.repeat(12, LONG_PAUSE_MS);
     expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
-  it('to one service reaches replicas a few times at most over all gateways', async () => {
+  it('reaches replicas a bounded number of times over all gateways when it goes to one service', async () => {
     const fleet = await CrashingFleet.start('/one/crash', LOOK_UP_FLEET);
     await fleet.repeat(12, LONG_PAUSE_MS);
     expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
-  it('reaches replicas a few times at most also where they come back under their ids', async () => {
+  it('reaches replicas a bounded number of times when they restart under the same ids', async () => {
     const fleet = await CrashingFleet.start('/q/crash', { ...FAN_OUT_FLEET, keepsIds: true });
     await fleet.repeat(12, LONG_PAUSE_MS);
     expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
-  it('is known to a gateway that has just started', async () => {
+  it('is known as crashing to a gateway that has just started', async () => {
     const fleet = await CrashingFleet.start('/q/crash', { ...FAN_OUT_FLEET, gateways: {} });
     await fleet.repeat(4, LONG_PAUSE_MS);
     for (let start = 0; start < 5; start += 1) {
@@ -66,7 +66,7 @@
     expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
-  it('is refused at once as not run, and reaches nobody after that', async () => {
+  it('is refused at once with a retry delay and as quarantined, and reaches no replica after that', async () => {
     const fleet = await CrashingFleet.start('/q/crash', FAN_OUT_FLEET);
     await fleet.repeat(2, LONG_PAUSE_MS);
     const crashes = fleet.crashes.length;
@@ -80,14 +80,14 @@
     expect(fleet.crashes).toHaveLength(crashes);
   });
 
-  it('leaves most shards a replica even at its first sending', async () => {
+  it('terminates at most one replica per shard, and those of its trials, when it is first sent', async () => {
     const fleet = await CrashingFleet.start('/q/crash', FAN_OUT_FLEET);
     const [first] = await fleet.repeat(1, 0);
     expect(first).toBe(502);
     expect(fleet.crashes.length).toBeLessThanOrEqual(SHARDS.length + TRIALS);
   });
 
-  it('is known to all gateways when leaves ask the shards', async () => {
+  it('is refused by all gateways when leaf gateways query the shards', async () => {
     const fleet = await CrashingFleet.start('/q/crash', {
       ...FAN_OUT_FLEET,
       gateways: { others: 4, aggregation: { divideAbove: 3, shardsPerGroup: 2 } },
@@ -97,7 +97,7 @@
     expect(statuses.slice(3).every((status) => status === 429)).toBe(true);
   });
 
-  it('is found out although it may be sent only once a sending', async () => {
+  it('is quarantined when each request may be sent to one replica only', async () => {
     const fleet = await CrashingFleet.start('/one/crash', {
       ...LOOK_UP_FLEET,
       route: { ...LOOK_UP, execution: 'atMostOnce' },
@@ -109,7 +109,7 @@
     }
   });
 
-  it('is found out by the loss of a connection after its answer was given up', async () => {
+  it('is quarantined when its callers disconnect before the replicas crash', async () => {
     const fleet = await CrashingFleet.start('/one/crash', {
       ...LOOK_UP_FLEET,
       workMs: 150,
@@ -126,7 +126,7 @@
     expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
-  it('is found out although each attempt was closed before its replica ended', async () => {
+  it('is quarantined when each attempt is closed before its replica crashes', async () => {
     const fleet = await CrashingFleet.start('/one/crash', {
       ...LOOK_UP_FLEET,
       replicasPerService: 2,
@@ -140,7 +140,7 @@
       abort.abort();
       await fleet.harness.simulation.settle(sent.catch(() => undefined));
       await fleet.harness.simulation.runFor(400);
-      // What finds the replica gone is another request.
+      // Other requests detect the loss of the replica.
       for (let gateway = 0; gateway < fleet.gateways.length; gateway += 1) {
         await fleet.call({ path: `/one/other-${call}-${gateway}` });
       }
@@ -149,7 +149,7 @@
     expect((await fleet.call({ path: '/one/crash' })).status).toBe(429);
   });
 
-  it('is found out by a gateway that reaches no controller', async () => {
+  it('is quarantined by a gateway that reaches no controller', async () => {
     const fleet = await CrashingFleet.start('/q/crash', { ...FAN_OUT_FLEET, gateways: {} });
     for (const machine of fleet.harness.group.machines) machine.freeze(60_000);
     const statuses = await fleet.repeat(3, 1_000);
@@ -165,7 +165,7 @@
       '/one/crash',
     ],
   ])(
-    'to %s is tried by one gateway at a time when it comes to all at once',
+    'to %s is tried by one gateway at a time when it arrives at all gateways at once',
     async (_, fleetOptions, path) => {
       const fleet = await CrashingFleet.start(path, { ...fleetOptions, gateways: { others: 9 } });
       for (let round = 0; round < 6; round += 1) {
@@ -178,7 +178,7 @@
     },
   );
 
-  it('stays refused after a loss of all power', async () => {
+  it('stays refused after a power loss of all machines', async () => {
     const fleet = await CrashingFleet.start('/q/crash', FAN_OUT_FLEET);
     const { harness } = fleet;
     await fleet.repeat(2, LONG_PAUSE_MS);
--- a/test/quarantine/lifting.test.ts
+++ b/test/quarantine/quarantine-lift.test.ts
@@ -10,7 +10,7 @@
   gateways: { others: 2 },
 };
 const PATH = '/v1/quarantine';
-/** Until replicas that ended are back, and an order holds everywhere. Milliseconds. */
+/** Longer than replicas take to restart, and a lift to reach every gateway. Milliseconds. */
 const SETTLED_MS = 5_000;
 const QUARANTINED = 429;
 
@@ -41,7 +41,7 @@
 }
 
 describe('a quarantined request', () => {
-  it('is shown to operators with what is held against it', async () => {
+  it('is listed for operators with the evidence about it', async () => {
     const fleet = await quarantinedFleet();
     for (const controller of [0, 1, 2]) {
       const [entry] = await list(fleet, controller);
@@ -56,7 +56,7 @@
     }
   });
 
-  it('is served everywhere once it is lifted and mended', async () => {
+  it('is served by all gateways once it is lifted and crashes no replica any more', async () => {
     const fleet = await quarantinedFleet();
     const fingerprint = await onlyFingerprint(fleet);
     for (const replica of fleet.replicas.keys()) replica.crashesOn = undefined;
@@ -67,7 +67,7 @@
     expect(await list(fleet, 0)).toEqual([]);
   });
 
-  it('is refused again when replicas end under it again', async () => {
+  it('is quarantined again when replicas terminate with it again after a lift', async () => {
     const fleet = await quarantinedFleet();
     await lift(fleet, await onlyFingerprint(fleet));
     await fleet.harness.simulation.runFor(SETTLED_MS);
@@ -76,7 +76,7 @@
     expect(statuses.slice(3)).toEqual([QUARANTINED, QUARANTINED, QUARANTINED]);
   });
 
-  it('stays lifted after a loss of all power and of one disk', async () => {
+  it('stays lifted after a power loss of all machines and the loss of one disk', async () => {
     const fleet = await quarantinedFleet();
     const { harness } = fleet;
     for (const replica of fleet.replicas.keys()) replica.crashesOn = undefined;
@@ -92,7 +92,7 @@
     expect((await harness.call({ path: '/one/crash' })).status).toBe(200);
   });
 
-  it('cannot be lifted by a name that is not known, nor without a quorum', async () => {
+  it('is not lifted by an unknown fingerprint, nor without a quorum', async () => {
     const fleet = await quarantinedFleet();
     const fingerprint = await onlyFingerprint(fleet);
     expect(await lift(fleet, 'unknown')).toBe(404);
--- a/test/quarantine/quarantine-register.test.ts
+++ b/test/quarantine/quarantine-register.test.ts
@@ -20,7 +20,7 @@
   };
 }
 
-function end(kind: QuarantineChangeKind, fingerprint: string): QuarantineChange {
+function change(kind: QuarantineChangeKind, fingerprint: string): QuarantineChange {
   return { ...NO_EVIDENCE, kind, fingerprint };
 }
 
@@ -37,8 +37,8 @@
   return register.find(fingerprint)?.state;
 }
 
-describe('the register of requests under which replicas ended', () => {
-  it('suspects a request after three replicas, whichever gateways saw them', () => {
+describe('QuarantineRegister of a controller', () => {
+  it('suspects a request after three terminated replicas, whichever gateways report them', () => {
     const register = new QuarantineRegister();
     applyTo(register, evidence('f', ['a']), evidence('f', ['b']));
     expect(stateOf(register, 'f')).toBe(QuarantineState.Observed);
@@ -46,14 +46,14 @@
     expect(stateOf(register, 'f')).toBe(QuarantineState.Suspected);
   });
 
-  it('does not count a replica twice', () => {
+  it('counts each replica once', () => {
     const register = new QuarantineRegister();
     expect(applyTo(register, evidence('f', ['a', 'b']))).toBe(1);
     expect(applyTo(register, evidence('f', ['b', 'a', 'a']))).toBe(0);
     expect(stateOf(register, 'f')).toBe(QuarantineState.Observed);
   });
 
-  it('quarantines it once two ended in trials, and not before three ended', () => {
+  it('quarantines a request after three terminated replicas of which two were in trials', () => {
     const register = new QuarantineRegister();
     applyTo(register, evidence('f', ['a', 'b'], ['a', 'b']));
     expect(stateOf(register, 'f')).toBe(QuarantineState.Suspected);
@@ -62,32 +62,32 @@
   });
 
   it.each([QuarantineChangeKind.Answer, QuarantineChangeKind.Lift])(
-    'holds nothing against it after its %s, nor the same replicas told again',
+    'discards the evidence after change %s, and does not count the same replicas again',
     (kind) => {
       const register = new QuarantineRegister();
       const known = evidence('f', ['a', 'b', 'c'], ['b', 'c']);
-      applyTo(register, known, end(kind, 'f'));
+      applyTo(register, known, change(kind, 'f'));
       expect(applyTo(register, known)).toBe(0);
       expect(applyTo(register, evidence('f', ['c', 'd']))).toBe(1);
       expect(register.find('f')).toMatchObject({ state: QuarantineState.Observed, ended: ['d'] });
     },
   );
 
-  it('takes an end of what it does not know, or that has ended, for no change', () => {
+  it('ignores an answer or a lift for a request without an entry or with a cleared one', () => {
     const register = new QuarantineRegister();
-    expect(applyTo(register, end(QuarantineChangeKind.Lift, 'f'))).toBe(0);
-    applyTo(register, evidence('f', ['a', 'b', 'c']), end(QuarantineChangeKind.Lift, 'f'));
-    expect(applyTo(register, end(QuarantineChangeKind.Answer, 'f'))).toBe(0);
+    expect(applyTo(register, change(QuarantineChangeKind.Lift, 'f'))).toBe(0);
+    applyTo(register, evidence('f', ['a', 'b', 'c']), change(QuarantineChangeKind.Lift, 'f'));
+    expect(applyTo(register, change(QuarantineChangeKind.Answer, 'f'))).toBe(0);
     expect(stateOf(register, 'f')).toBe(QuarantineState.Lifted);
   });
 
-  it('changes nothing by a change of a kind that is not known here', () => {
+  it('ignores a change of an unknown kind', () => {
     const register = new QuarantineRegister();
-    const change = { ...evidence('f', ['a']), kind: 'later' as QuarantineChangeKind };
-    expect(applyTo(register, change)).toBe(0);
+    const unknown = { ...evidence('f', ['a']), kind: 'later' as QuarantineChangeKind };
+    expect(applyTo(register, unknown)).toBe(0);
   });
 
-  it('lets one holder at a time try a suspected request', () => {
+  it('grants a trial of a suspected request to one holder at a time', () => {
     const register = new QuarantineRegister();
     applyTo(register, trial('first'));
     expect(register.find('f')).toBeUndefined();
@@ -101,17 +101,17 @@
     expect(register.find('f')?.trialHolder).toBe('');
   });
 
-  it('has the trial over once a replica ended in it, or was the request cleared', () => {
+  it('ends a trial once a replica terminated in it or the request was answered', () => {
     const register = new QuarantineRegister();
     applyTo(register, evidence('f', ['a', 'b', 'c']), trial('first'));
     applyTo(register, evidence('f', ['d'], ['d']));
     expect(register.find('f')?.trialHolder).toBe('');
-    applyTo(register, trial('second'), end(QuarantineChangeKind.Answer, 'f'));
+    applyTo(register, trial('second'), change(QuarantineChangeKind.Answer, 'f'));
     expect(register.find('f')?.trialHolder).toBe('');
     expect(applyTo(register, trial('third'))).toBe(0);
   });
 
-  it('keeps to its bound, and quarantined requests longest', () => {
+  it('bounds its entries, and evicts quarantined ones last', () => {
     const register = new QuarantineRegister();
     applyTo(register, evidence('kept', ['a', 'b', 'c'], ['b', 'c']));
     for (let index = 0; index < MAXIMUM_ENTRIES + 50; index += 1) {
@@ -122,7 +122,7 @@
     expect(register.changedAfter(0)).toHaveLength(MAXIMUM_ENTRIES);
   });
 
-  it('keeps few replicas of one request, with bounded ids', () => {
+  it('bounds the replica ids of a request in length', () => {
     const register = new QuarantineRegister();
     const many = Array.from({ length: 100 }, (_, index) => `${index}`.padEnd(400, 'x'));
     applyTo(register, evidence('f', many.slice(0, 2)));
@@ -130,10 +130,10 @@
     expect(ended.join('').length).toBeLessThan(200);
   });
 
-  it('is the same after a snapshot', () => {
+  it('has the same entries and behaves the same after it is restored from a snapshot', () => {
     const register = new QuarantineRegister();
     applyTo(register, evidence('f', ['a', 'b', 'c'], ['b', 'c']), evidence('g', ['a']));
-    applyTo(register, end(QuarantineChangeKind.Lift, 'f'));
+    applyTo(register, change(QuarantineChangeKind.Lift, 'f'));
     const restored = new QuarantineRegister();
     restored.restore(register.snapshot());
     expect(restored.all()).toEqual(register.all());
--- a/test/quarantine/recent-map.test.ts
+++ b/test/quarantine/recent-map.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { RecentMap } from '../../src/quarantine/recent-map.js';
 
-describe('a map of bounded size', () => {
-  it('drops what was set longest ago', () => {
+describe('RecentMap of bounded size', () => {
+  it('evicts the entry that was set longest ago', () => {
     const map = new RecentMap<string, number>(2);
     map.set('a', 1);
     map.set('b', 2);
--- a/test/quarantine/request-fingerprint.test.ts
+++ b/test/quarantine/request-fingerprint.test.ts
@@ -9,7 +9,7 @@
 };
 
 describe('the fingerprint of a request', () => {
-  it('is the same under another id and deadline', () => {
+  it('is the same for another request id and deadline', () => {
     const headers = { host: 'desk.example', 'x-request-id': 'two', 'x-deadline-ms': '90' };
     expect(fingerprintOf({ ...REQUEST, headers })).toBe(fingerprintOf(REQUEST));
   });
--- a/test/quarantine/tenants.test.ts
+++ b/test/quarantine/tenants.test.ts
@@ -4,7 +4,7 @@
 
 const { apiKey: KEY, tenant: TENANT } = DEFAULT_EXCHANGE_HEADERS;
 const QUARANTINED_STATUS = 429;
-/** Longer than a replica takes to come back. Milliseconds. */
+/** Longer than a replica takes to restart. Milliseconds. */
 const PAUSE_MS = 6_000;
 
 async function start(): Promise<CrashingFleet> {
@@ -26,7 +26,7 @@
 }
 
 describe('a request of a tenant that crashes replicas', () => {
-  it('is tried and then refused under each key of the tenant, which no replica is shown', async () => {
+  it('is tried and then refused with each API key of the tenant, and no key reaches a replica', async () => {
     const fleet = await start();
     let status = 0;
     for (let call = 0; call < 8 && status !== QUARANTINED_STATUS; call += 1) {
@@ -41,7 +41,7 @@
     expect(JSON.stringify(seen)).not.toContain('secret');
   });
 
-  it('does not have the same request of another tenant refused', async () => {
+  it('does not cause the same request of another tenant to be refused', async () => {
     const fleet = await start();
     for (let call = 0; call < 8; call += 1) await sendAs(fleet, 'secret-1');
     expect(await sendAs(fleet, 'secret-1')).toBe(QUARANTINED_STATUS);
--- a/test/quarantine/trial-grants.test.ts
+++ b/test/quarantine/trial-grants.test.ts
@@ -12,33 +12,33 @@
   return { fingerprint: 'f', description: '', state, trialHolder, revision: 1, ...evidence };
 }
 
-function createGrants(isFollowed = true) {
+function createGrants(isConnected = true) {
   const clock = new ManualClock();
   const sent: QuarantineChange[] = [];
-  const onNews = vi.fn();
+  const onChange = vi.fn();
   const send = (change: QuarantineChange): boolean => {
     sent.push(change);
-    return isFollowed;
+    return isConnected;
   };
-  const grants = new TrialGrants({ clock, gateway: 'g', send, onChange: onNews });
-  return { grants, clock, sent, onNews };
+  const grants = new TrialGrants({ clock, gateway: 'g', send, onChange: onChange });
+  return { grants, clock, sent, onChange };
 }
 
-describe('permissions to try a request', () => {
-  it('are asked for once, and used once', () => {
-    const { grants, sent, onNews } = createGrants();
+describe('TrialGrants of a gateway', () => {
+  it('requests a grant once and uses it once', () => {
+    const { grants, sent, onChange } = createGrants();
     expect(grants.tryUse(entry(''))).toBe(false);
     expect(grants.tryUse(entry(''))).toBe(false);
     expect(sent).toMatchObject([{ kind: QuarantineChangeKind.Trial, holder: 'g/1' }]);
     grants.applyEntry(entry('g/1'));
-    expect(onNews).toHaveBeenCalledTimes(1);
+    expect(onChange).toHaveBeenCalledTimes(1);
     expect(grants.tryUse(entry('g/1'))).toBe(true);
     expect(grants.tryUse(entry('g/1'))).toBe(false);
     grants.release('f');
     expect(sent.at(-1)).toMatchObject({ kind: QuarantineChangeKind.TrialEnd, holder: 'g/1' });
   });
 
-  it('are asked for again when another holder has ended its trial', () => {
+  it('requests a grant again when another holder has ended its trial', () => {
     const { grants, sent } = createGrants();
     grants.tryUse(entry('other/1'));
     grants.applyEntry(entry(''));
@@ -46,7 +46,7 @@
     expect(sent[1]).toMatchObject({ holder: 'g/1', replaces: '' });
   });
 
-  it('replace a holder that is not heard of any more', () => {
+  it('requests to replace a holder that has timed out', () => {
     const { grants, clock, sent } = createGrants();
     grants.tryUse(entry('other/1'));
     clock.advance(1_500);
@@ -55,30 +55,30 @@
     expect(sent[1]).toMatchObject({ holder: 'g/1', replaces: 'other/1' });
   });
 
-  it('are not needed where no controller answers, or can be asked', () => {
-    const { grants, clock, onNews } = createGrants();
+  it('grants a trial itself when no controller answers or is connected', () => {
+    const { grants, clock, onChange } = createGrants();
     grants.tryUse(entry(''));
     clock.advance(1_000);
-    expect(onNews).toHaveBeenCalledTimes(1);
+    expect(onChange).toHaveBeenCalledTimes(1);
     expect(grants.tryUse(entry(''))).toBe(true);
     expect(createGrants(false).grants.tryUse(entry(''))).toBe(true);
   });
 
-  it('are given up when the trial hangs, so that others need not wait', () => {
-    const { grants, clock, sent, onNews } = createGrants();
+  it('gives the grant back when the trial hangs', () => {
+    const { grants, clock, sent, onChange } = createGrants();
     grants.tryUse(entry(''));
     grants.applyEntry(entry('g/1'));
     grants.tryUse(entry('g/1'));
     clock.advance(10_000);
     expect(sent.at(-1)).toMatchObject({ kind: QuarantineChangeKind.TrialEnd, holder: 'g/1' });
-    expect(onNews).toHaveBeenCalledTimes(2);
+    expect(onChange).toHaveBeenCalledTimes(2);
   });
 
-  it('are not waited for once the request is not to be tried any more', () => {
-    const { grants, clock, onNews } = createGrants();
+  it('drops a grant request once the request is quarantined', () => {
+    const { grants, clock, onChange } = createGrants();
     grants.tryUse(entry(''));
     grants.applyEntry(entry('', QuarantineState.Quarantined));
     clock.advance(10_000);
-    expect(onNews).not.toHaveBeenCalled();
+    expect(onChange).not.toHaveBeenCalled();
   });
 });
--- a/test/quarantine/trial-slots.test.ts
+++ b/test/quarantine/trial-slots.test.ts
@@ -2,56 +2,56 @@
 import { TrialSlots } from '../../src/quarantine/trial-slots.js';
 import { ManualClock } from '../support/manual-clock.js';
 
-describe('turns to try a suspected request', () => {
-  it('are taken one at a time', () => {
-    const turns = new TrialSlots(new ManualClock());
-    expect(turns.tryAcquire('f')).toBe(true);
-    expect(turns.tryAcquire('f')).toBe(false);
-    expect(turns.tryAcquire('g')).toBe(true);
-    turns.release('f');
-    expect(turns.tryAcquire('f')).toBe(true);
+describe('TrialSlots of a gateway', () => {
+  it('gives the slot of a request to one trial at a time', () => {
+    const slots = new TrialSlots(new ManualClock());
+    expect(slots.tryAcquire('f')).toBe(true);
+    expect(slots.tryAcquire('f')).toBe(false);
+    expect(slots.tryAcquire('g')).toBe(true);
+    slots.release('f');
+    expect(slots.tryAcquire('f')).toBe(true);
   });
 
-  it('wake those that wait once, at their end or when more is known', () => {
-    const turns = new TrialSlots(new ManualClock());
-    const woken = vi.fn();
-    turns.tryAcquire('f');
-    turns.addWaiter('f', woken);
-    turns.notifyWaiters('f');
-    turns.release('f');
-    expect(woken).toHaveBeenCalledTimes(1);
+  it('notifies a waiter once, on a notification or when the slot is released', () => {
+    const slots = new TrialSlots(new ManualClock());
+    const onChange = vi.fn();
+    slots.tryAcquire('f');
+    slots.addWaiter('f', onChange);
+    slots.notifyWaiters('f');
+    slots.release('f');
+    expect(onChange).toHaveBeenCalledTimes(1);
   });
 
-  it('are still taken after those that wait were woken for news', () => {
-    const turns = new TrialSlots(new ManualClock());
-    turns.tryAcquire('f');
-    turns.notifyWaiters('f');
-    expect(turns.tryAcquire('f')).toBe(false);
+  it('keeps the slot taken after waiters were notified', () => {
+    const slots = new TrialSlots(new ManualClock());
+    slots.tryAcquire('f');
+    slots.notifyWaiters('f');
+    expect(slots.tryAcquire('f')).toBe(false);
   });
 
-  it('pass on when a trial takes long, one after the other', () => {
+  it('gives the slot to the next trial when a trial exceeds the timeout', () => {
     const clock = new ManualClock();
-    const turns = new TrialSlots(clock);
-    const woken = vi.fn();
-    turns.tryAcquire('f');
-    turns.addWaiter('f', woken);
+    const slots = new TrialSlots(clock);
+    const onChange = vi.fn();
+    slots.tryAcquire('f');
+    slots.addWaiter('f', onChange);
     clock.advance(1_000);
-    expect(woken).toHaveBeenCalledTimes(1);
-    expect(turns.tryAcquire('f')).toBe(true);
-    expect(turns.tryAcquire('f')).toBe(false);
-    // The first one ends while the second goes on.
-    turns.release('f');
-    expect(turns.tryAcquire('f')).toBe(false);
-    turns.release('f');
-    expect(turns.tryAcquire('f')).toBe(true);
+    expect(onChange).toHaveBeenCalledTimes(1);
+    expect(slots.tryAcquire('f')).toBe(true);
+    expect(slots.tryAcquire('f')).toBe(false);
+    // The first trial ends while the second is in flight.
+    slots.release('f');
+    expect(slots.tryAcquire('f')).toBe(false);
+    slots.release('f');
+    expect(slots.tryAcquire('f')).toBe(true);
   });
 
-  it('do not wake who does not want to wait any more', () => {
-    const turns = new TrialSlots(new ManualClock());
-    const woken = vi.fn();
-    turns.addWaiter('f', woken);
-    turns.removeWaiter('f', woken);
-    turns.release('f');
-    expect(woken).not.toHaveBeenCalled();
+  it('does not notify a removed waiter', () => {
+    const slots = new TrialSlots(new ManualClock());
+    const onChange = vi.fn();
+    slots.addWaiter('f', onChange);
+    slots.removeWaiter('f', onChange);
+    slots.release('f');
+    expect(onChange).not.toHaveBeenCalled();
   });
 });
--- a/test/quarantine/innocent-requests.test.ts
+++ b/test/quarantine/uninvolved-requests.test.ts
@@ -1,7 +1,7 @@
 /*
- * Whoever runs beside a request that crashes a replica loses the replica too, and so does every
- * request that a replica has when its zone, its release or its connections end. None of them
- * may be refused for it.
+ * Requests that run on a replica beside a crashing request lose the replica too. So do requests in
+ * flight when a replica terminates because of a zone failure or a release, or loses its
+ * connections. None of these requests may be quarantined.
  */
 import { describe, expect, it } from 'vitest';
 import { ReplicaBehaviour } from '../../lab/exchange/exchange-replica.js';
@@ -9,28 +9,28 @@
 
 const SHARDS = ['shard-a', 'shard-b', 'shard-c', 'shard-d', 'shard-e', 'shard-f'];
 const FAN_OUT = { pathPrefix: '/q/', shards: SHARDS, topRecords: 3, requiredCoverage: 0.6 };
-/** Second sends that never run out, as requests are tried on other replicas here. */
-const PLENTY = { ratio: 1, slack: 10_000 };
+/** A retry budget that is never exhausted, since these tests rely on retries on other replicas. */
+const UNLIMITED_RETRIES = { ratio: 1, slack: 10_000 };
 const FAN_OUT_FLEET: CrashingFleetOptions = {
   services: SHARDS,
   replicasPerService: 3,
   route: FAN_OUT,
-  gateways: { others: 3, secondSends: PLENTY },
+  gateways: { others: 3, secondSends: UNLIMITED_RETRIES },
   workMs: 30,
 };
 const LOOK_UP_FLEET: CrashingFleetOptions = {
   services: ['ledger'],
   replicasPerService: 6,
   route: { pathPrefix: '/q/', service: 'ledger' },
-  gateways: { others: 3, secondSends: PLENTY },
+  gateways: { others: 3, secondSends: UNLIMITED_RETRIES },
   workMs: 30,
 };
 const TWO_ZONES = ['nayoro', 'wakkanai'];
-/** Until replicas that ended are back and known. Milliseconds. */
-const BACK_MS = 6_000;
+/** Longer than terminated replicas take to restart and register. Milliseconds. */
+const RECOVERY_MS = 6_000;
 const QUARANTINED = 429;
 
-const KINDS: [string, CrashingFleetOptions][] = [
+const FLEETS: [string, CrashingFleetOptions][] = [
   ['to all shards', FAN_OUT_FLEET],
   ['to one service', LOOK_UP_FLEET],
 ];
@@ -40,7 +40,7 @@
   return (await fleet.harness.simulation.settle(Promise.all(sent))).map(({ status }) => status);
 }
 
-/** Sends a request every few milliseconds, each asking what `pathOf` gives. */
+/** Sends a request to `pathOf(index)` every 10 milliseconds; returns the statuses. */
 async function sendFor(
   fleet: CrashingFleet,
   milliseconds: number,
@@ -59,8 +59,8 @@
   return statuses.filter((other) => other === status).length;
 }
 
-describe.each(KINDS)('requests %s', (_, options) => {
-  it('that run beside a crashing one are never refused for it', async () => {
+describe.each(FLEETS)('requests %s', (_, options) => {
+  it('are never quarantined when they run beside a crashing request', async () => {
     const fleet = await CrashingFleet.start('/q/crash', options);
     const paths = Array.from({ length: 12 }, (__, index) => `/q/beside-${index}`);
     for (let round = 0; round < 4; round += 1) {
@@ -68,13 +68,13 @@
       const crash = fleet.send({ path: '/q/crash' });
       await fleet.harness.simulation.settle(Promise.all([crash, ...sent]));
       expect(countOf(await statusesOf(fleet, paths), QUARANTINED)).toBe(0);
-      await fleet.harness.simulation.runFor(BACK_MS);
+      await fleet.harness.simulation.runFor(RECOVERY_MS);
       expect(countOf(await statusesOf(fleet, paths), 200)).toBe(paths.length);
     }
     expect((await fleet.call({ path: '/q/crash' })).status).toBe(QUARANTINED);
   });
 
-  it('that many callers send are served while another one crashes replicas', async () => {
+  it('of many callers are served while another request crashes replicas', async () => {
     const fleet = await CrashingFleet.start('/q/crash', options);
     const popular = sendFor(fleet, 500, () => '/q/popular');
     const crash = fleet.repeat(2, 100);
@@ -83,22 +83,22 @@
     expect(countOf(statuses, 200)).toBe(statuses.length);
   });
 
-  it('that many callers send are never refused while replicas end again and again', async () => {
+  it('of many callers are never quarantined while replicas terminate repeatedly', async () => {
     const fleet = await CrashingFleet.start('/q/crash', options);
-    let ended = 0;
+    let candidates = 0;
     for (let round = 0; round < 6; round += 1) {
       const statuses = sendFor(fleet, 300, () => '/q/popular');
       fleet.terminateReplicas(() => {
-        ended += 1;
-        return ended % 3 === 0;
+        candidates += 1;
+        return candidates % 3 === 0;
       });
       expect(countOf(await statuses, QUARANTINED)).toBe(0);
-      await fleet.harness.simulation.runFor(BACK_MS);
+      await fleet.harness.simulation.runFor(RECOVERY_MS);
       expect((await fleet.call({ path: '/q/popular' })).status).toBe(200);
     }
   });
 
-  it('are served by the other zone when a zone is lost under them', async () => {
+  it('are served by the other zone when a zone fails with them in flight', async () => {
     const fleet = await CrashingFleet.start('/q/crash', {
       ...options,
       replicasPerService: 6,
@@ -111,23 +111,23 @@
       fleet.terminateReplicas((replica) => replica.options.zone === 'nayoro');
       const answers = await fleet.harness.simulation.settle(Promise.all(sent));
       expect(answers.map(({ status }) => status)).toEqual(paths.map(() => 200));
-      await fleet.harness.simulation.runFor(BACK_MS);
+      await fleet.harness.simulation.runFor(RECOVERY_MS);
     }
   });
 
-  it('are never refused when all replicas are lost under them, three times', async () => {
+  it('are never quarantined when all replicas terminate with them in flight, three times', async () => {
     const fleet = await CrashingFleet.start('/q/crash', options);
     for (let round = 0; round < 3; round += 1) {
       const sent = fleet.send({ path: '/q/same' });
       await fleet.harness.simulation.runFor(15);
       fleet.terminateReplicas(() => true);
       await fleet.harness.simulation.settle(sent);
-      await fleet.harness.simulation.runFor(BACK_MS);
+      await fleet.harness.simulation.runFor(RECOVERY_MS);
       expect((await fleet.call({ path: '/q/same' })).status).toBe(200);
     }
   });
 
-  it('are served while each replica is ended for a release, one after the other', async () => {
+  it('are served while replicas terminate one after the other for a release', async () => {
     const fleet = await CrashingFleet.start('/q/crash', options);
     const released = new Set([...fleet.replicas.keys()].map(({ options: { address } }) => address));
     for (const address of [...released].slice(0, 8)) {
@@ -136,11 +136,11 @@
       fleet.terminateReplicas((replica) => replica.options.address === address);
       const answers = await fleet.harness.simulation.settle(Promise.all(sent));
       expect(answers.map(({ status }) => status)).toEqual(sent.map(() => 200));
-      await fleet.harness.simulation.runFor(BACK_MS);
+      await fleet.harness.simulation.runFor(RECOVERY_MS);
     }
   });
 
-  it('are not suspected when replicas that leave end with them in flight', async () => {
+  it('are not suspected when draining replicas terminate with them in flight', async () => {
     const fleet = await CrashingFleet.start('/q/crash', { ...options, workMs: 3_000 });
     for (let round = 0; round < 4; round += 1) {
       const sent = fleet.send({ path: '/q/same', deadlineMs: 2_000 });
@@ -149,14 +149,14 @@
       await fleet.harness.simulation.settle(Promise.all(busy.map((replica) => replica.drain())));
       fleet.terminateReplicas((replica) => busy.includes(replica));
       expect((await fleet.harness.simulation.settle(sent)).status).not.toBe(QUARANTINED);
-      await fleet.harness.simulation.runFor(BACK_MS);
+      await fleet.harness.simulation.runFor(RECOVERY_MS);
     }
     const { group } = fleet.harness;
     const { body } = await group.call(group.machineAt(0), 'GET', '/v1/quarantine');
     expect(Buffer.from(body).toString('utf8')).toBe('{"requests":[]}');
   });
 
-  it('do not wait for long behind one that hangs after a loss', async () => {
+  it('do not wait long behind a request that hangs on its replica after others terminated', async () => {
     const fleet = await CrashingFleet.start('/q/crash', options);
     const [hanging] = fleet.running();
     const sent = fleet.send({ path: '/q/same' });
@@ -168,7 +168,7 @@
     expect(countOf(statuses, 200)).toBe(statuses.length);
   });
 
-  it('are served again at once after all their connections were lost for a while', async () => {
+  it('are served again at once after a time in which all their connections were lost', async () => {
     const fleet = await CrashingFleet.start('/q/crash', options);
     for (const replica of fleet.replicas.keys()) replica.behaviour = ReplicaBehaviour.LoseAnswer;
     for (let call = 0; call < 10; call += 1) {
