--- a/src/policies/adaptive-concurrency-limit.ts
+++ b/src/policies/adaptive-concurrency-limit.ts
@@ -84,13 +84,13 @@
     this.peakInFlight = 0;
   }
 
-  private baselineOfUnusedWindow(mean: number): number {
-    const { baselineLatency = mean } = this;
-    return baselineLatency + UNUSED_WINDOW_WEIGHT * (mean - baselineLatency);
+  private baselineOfUnusedWindow(meanLatency: number): number {
+    const { baselineLatency = meanLatency } = this;
+    return baselineLatency + UNUSED_WINDOW_WEIGHT * (meanLatency - baselineLatency);
   }
 
-  private baselineOfUsedWindow(mean: number, throughput: number): number {
-    const { baselineLatency = mean, bestThroughput } = this;
+  private baselineOfUsedWindow(meanLatency: number, throughput: number): number {
+    const { baselineLatency = meanLatency, bestThroughput } = this;
     const isSlow = throughput < SLOW_THROUGHPUT_SHARE * bestThroughput;
     const best = isSlow ? bestThroughput * (1 - SLOW_WINDOW_STEP) : bestThroughput;
     if (Number.isFinite(throughput)) this.bestThroughput = Math.max(best, throughput);
--- a/src/policies/team-queue.ts
+++ b/src/policies/team-queue.ts
@@ -13,11 +13,11 @@
   /** Number of items that would be dequeued before an item added to the team now. */
   countAhead(team: string): number {
     const own = this.teams.get(team)?.size ?? 0;
-    let ahead = own;
+    let count = own;
     for (const [name, items] of this.teams) {
-      if (name !== team) ahead += Math.min(items.size, own + 1);
+      if (name !== team) count += Math.min(items.size, own + 1);
     }
-    return ahead;
+    return count;
   }
 
   add(team: string, item: Item): void {
--- a/src/quarantine/crash-evidence-store.ts
+++ b/src/quarantine/crash-evidence-store.ts
@@ -96,7 +96,7 @@
   }
 
   /** Discards all evidence about the request; a newer replicated entry counts again. */
-  clear(fingerprint: string): void {
+  clearEvidence(fingerprint: string): void {
     this.local.delete(fingerprint);
     const replicated = this.activeReplicatedEntry(fingerprint);
     if (replicated === undefined) return;
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -95,7 +95,7 @@
       case QuarantineState.Quarantined:
         return CrashGuardDecision.Refused;
       case QuarantineState.Suspected:
-        this.slots.addWaiter(fingerprint, onChange);
+        this.slots.wait(fingerprint, onChange);
         return this.tryStartTrial(fingerprint) ? CrashGuardDecision.Trial : CrashGuardDecision.Wait;
       default:
         return CrashGuardDecision.Allowed;
@@ -104,12 +104,12 @@
 
   /** Calls `onChange` once when the request's state may have changed or its next trial may begin. */
   onceChanged(fingerprint: string, onChange: () => void): void {
-    this.slots.addWaiter(fingerprint, onChange);
+    this.slots.wait(fingerprint, onChange);
   }
 
   /** Withdraws a callback of {@link CrashGuard.admit} or {@link CrashGuard.onceChanged}. */
   cancelOnceChanged(fingerprint: string, onChange: () => void): void {
-    this.slots.removeWaiter(fingerprint, onChange);
+    this.slots.cancel(fingerprint, onChange);
   }
 
   /** Ends a trial; if its replica terminated, {@link CrashGuard.recordTermination} is called first. */
@@ -126,7 +126,7 @@
 
   /** Gives back a trial that was admitted but not sent, and withdraws its callback. */
   cancelTrial(fingerprint: string, onChange: () => void): void {
-    this.slots.removeWaiter(fingerprint, onChange);
+    this.slots.cancel(fingerprint, onChange);
     this.grants.release(fingerprint);
     this.slots.release(fingerprint);
   }
@@ -194,7 +194,7 @@
     const wasReported =
       this.evidenceStore.hasReplicatedEvidence(fingerprint) ||
       this.reporter.hasReported(fingerprint);
-    this.evidenceStore.clear(fingerprint);
+    this.evidenceStore.clearEvidence(fingerprint);
     this.reporter.discard(fingerprint);
     if (!wasReported) return;
     this.reporter.report({ ...NO_EVIDENCE, kind: QuarantineChangeKind.Answer, fingerprint });
--- a/src/quarantine/evidence-intake.ts
+++ b/src/quarantine/evidence-intake.ts
@@ -2,7 +2,7 @@
  * Receives the gateways' quarantine changes at a controller and proposes those that would change
  * the register: at once, or in one batch those that arrive during a proposal. Bounded: when more
  * changes arrive than the group can commit, urgent changes displace others, and dropped changes
- * are counted in the next log line. Gateways resend changes that are not committed.
+ * are counted in the next log line. Gateways resend evidence that is not committed.
  */
 import type { Logger } from '../observability/logger.js';
 import { MAXIMUM_FINGERPRINT_LENGTH } from './quarantine-entry.js';
@@ -65,7 +65,7 @@
           dropped: this.dropped,
         });
       } catch (error) {
-        // Gateways resend the changes, to another controller if this one is partitioned.
+        // Gateways resend the evidence, to another controller if this one is partitioned.
         logger.warn('crash evidence not recorded', {
           changes: effective.length,
           reason: String(error),
--- a/src/quarantine/quarantine-entry.ts
+++ b/src/quarantine/quarantine-entry.ts
@@ -6,8 +6,9 @@
  */
 const TERMINATIONS_TO_SUSPECT = 3;
 /**
- * Replicas that must terminate in trials of a suspected request before it is quarantined. One
- * may terminate by coincidence during a trial; a second coincidence is very unlikely.
+ * Replicas that must terminate in trials of a suspected request before it is quarantined. A trial
+ * is the only attempt of its request in flight at a gateway. One replica may terminate by
+ * coincidence during a trial; a second coincidence is very unlikely.
  */
 const TRIAL_TERMINATIONS_TO_QUARANTINE = 2;
 
--- a/src/quarantine/quarantine-register.ts
+++ b/src/quarantine/quarantine-register.ts
@@ -161,9 +161,9 @@
         ended: splitIds(stored.ended),
         endedInTrial: splitIds(stored.endedInTrial),
       };
-      const after = this.entryAfter(change);
-      if (after === undefined) continue;
-      this.put(after);
+      const next = this.entryAfter(change);
+      if (next === undefined) continue;
+      this.put(next);
       changed += 1;
     }
     if (changed > 0) this.emit();
@@ -226,22 +226,22 @@
     const before = isNew ? { ended: [], endedInTrial: [], trialHolder: NO_HOLDER } : known;
     const counted = ended.filter((id) => !discounted.includes(id));
     const countedInTrial = endedInTrial.filter((id) => !discounted.includes(id));
-    const after = {
+    const next = {
       fingerprint,
       description,
       ended: mergeReplicaIds(before.ended, counted),
       endedInTrial: mergeReplicaIds(before.endedInTrial, countedInTrial),
     };
     const hasGrown =
-      after.ended.length > before.ended.length ||
-      after.endedInTrial.length > before.endedInTrial.length;
+      next.ended.length > before.ended.length ||
+      next.endedInTrial.length > before.endedInTrial.length;
     if (!hasGrown) return undefined;
-    const isTrialOver = after.endedInTrial.length > before.endedInTrial.length;
+    const isTrialOver = next.endedInTrial.length > before.endedInTrial.length;
     const trialHolder = isTrialOver ? NO_HOLDER : before.trialHolder;
     return {
-      ...after,
+      ...next,
       trialHolder,
-      state: stateFor(after.ended.length, after.endedInTrial.length),
+      state: stateFor(next.ended.length, next.endedInTrial.length),
     };
   }
 
--- a/src/quarantine/trial-slots.ts
+++ b/src/quarantine/trial-slots.ts
@@ -43,12 +43,12 @@
   }
 
   /** Calls `callback` once, when the slot may be free or the request's state may have changed. */
-  addWaiter(fingerprint: string, callback: () => void): void {
+  wait(fingerprint: string, callback: () => void): void {
     this.slotOf(fingerprint).waiters.add(callback);
   }
 
-  /** Withdraws a callback of {@link TrialSlots.addWaiter}. */
-  removeWaiter(fingerprint: string, callback: () => void): void {
+  /** Withdraws a callback of {@link TrialSlots.wait}. */
+  cancel(fingerprint: string, callback: () => void): void {
     const slot = this.slots.get(fingerprint);
     if (slot === undefined) return;
     slot.waiters.delete(callback);
--- a/test/quarantine/crashing-request.test.ts
+++ b/test/quarantine/crashing-request.test.ts
@@ -54,7 +54,7 @@
     expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
-  it('is known as crashing to a gateway that has just started', async () => {
+  it('is recognized by a gateway that has just started', async () => {
     const fleet = await CrashingFleet.start('/q/crash', { ...FAN_OUT_FLEET, gateways: {} });
     await fleet.repeat(4, LONG_PAUSE_MS);
     for (let start = 0; start < 5; start += 1) {
@@ -66,7 +66,7 @@
     expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
-  it('is refused at once with a retry delay and as quarantined, and reaches no replica after that', async () => {
+  it('is refused at once as quarantined, with a retry delay, and reaches no replica after that', async () => {
     const fleet = await CrashingFleet.start('/q/crash', FAN_OUT_FLEET);
     await fleet.repeat(2, LONG_PAUSE_MS);
     const crashes = fleet.crashes.length;
@@ -97,7 +97,7 @@
     expect(statuses.slice(3).every((status) => status === 429)).toBe(true);
   });
 
-  it('is quarantined when each request may be sent to one replica only', async () => {
+  it('is quarantined when each request is sent to replicas at most once', async () => {
     const fleet = await CrashingFleet.start('/one/crash', {
       ...LOOK_UP_FLEET,
       route: { ...LOOK_UP, execution: 'atMostOnce' },
--- a/test/quarantine/trial-grants.test.ts
+++ b/test/quarantine/trial-grants.test.ts
@@ -20,7 +20,7 @@
     sent.push(change);
     return isConnected;
   };
-  const grants = new TrialGrants({ clock, gateway: 'g', send, onChange: onChange });
+  const grants = new TrialGrants({ clock, gateway: 'g', send, onChange });
   return { grants, clock, sent, onChange };
 }
 
--- a/test/quarantine/trial-slots.test.ts
+++ b/test/quarantine/trial-slots.test.ts
@@ -16,7 +16,7 @@
     const slots = new TrialSlots(new ManualClock());
     const onChange = vi.fn();
     slots.tryAcquire('f');
-    slots.addWaiter('f', onChange);
+    slots.wait('f', onChange);
     slots.notifyWaiters('f');
     slots.release('f');
     expect(onChange).toHaveBeenCalledTimes(1);
@@ -34,7 +34,7 @@
     const slots = new TrialSlots(clock);
     const onChange = vi.fn();
     slots.tryAcquire('f');
-    slots.addWaiter('f', onChange);
+    slots.wait('f', onChange);
     clock.advance(1_000);
     expect(onChange).toHaveBeenCalledTimes(1);
     expect(slots.tryAcquire('f')).toBe(true);
@@ -49,8 +49,8 @@
   it('does not notify a removed waiter', () => {
     const slots = new TrialSlots(new ManualClock());
     const onChange = vi.fn();
-    slots.addWaiter('f', onChange);
-    slots.removeWaiter('f', onChange);
+    slots.wait('f', onChange);
+    slots.cancel('f', onChange);
     slots.release('f');
     expect(onChange).not.toHaveBeenCalled();
   });
