--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -124,14 +124,14 @@
     this.metrics.refused.inc();
   }
 
-  /** Gives back a trial that was admitted but not sent, and withdraws its callback. */
+  /** Ends a trial that was admitted but not sent, and withdraws its callback. */
   cancelTrial(fingerprint: string, onChange: () => void): void {
     this.slots.cancel(fingerprint, onChange);
     this.grants.release(fingerprint);
     this.slots.release(fingerprint);
   }
 
-  /** A replica ran the request and answered, so not every replica that runs it crashes: clears it. */
+  /** Clears a request that a replica ran and answered, since it does not crash every replica that runs it. */
   recordAnswer(fingerprint: string): void {
     this.evidenceStore.recordAnswer(fingerprint);
     if (!this.evidenceStore.hasEvidence(fingerprint)) return;
--- a/test/quarantine/crashing-fleet.ts
+++ b/test/quarantine/crashing-fleet.ts
@@ -16,7 +16,7 @@
 const RESTART_MS = 2_500;
 /** Time in which one gateway's evidence reaches all gateways. Milliseconds. */
 export const PROPAGATION_MS = 4_000;
-/** Replicas that a request may crash before it must be suspected. */
+/** Replicas that a request may crash before the gateways must recognize it as the cause. */
 export const TOLERATED_CRASHES = 3;
 /** Requests of callers that may reach replicas after that. */
 export const TOLERATED_LATE_REQUESTS = 3;
--- a/test/quarantine/quarantine-register.test.ts
+++ b/test/quarantine/quarantine-register.test.ts
@@ -62,7 +62,7 @@
   });
 
   it.each([QuarantineChangeKind.Answer, QuarantineChangeKind.Lift])(
-    'discards the evidence after change %s, and does not count the same replicas again',
+    'discards the evidence after a change of kind %s, and does not count the same replicas again',
     (kind) => {
       const register = new QuarantineRegister();
       const known = evidence('f', ['a', 'b', 'c'], ['b', 'c']);
