--- a/test/policies/adaptive-concurrency-limit.test.ts
+++ b/test/policies/adaptive-concurrency-limit.test.ts
@@ -23,7 +23,7 @@
   return now;
 }
 
-describe('LearnedLimit', () => {
+describe('AdaptiveConcurrencyLimit', () => {
   it('converges to a limit that uses all slots and keeps the queue short', () => {
     const limit = new AdaptiveConcurrencyLimit(MAXIMUM);
     limit.record(20, 1, 0);
