--- a/src/policies/adaptive-admission-policy.ts
+++ b/src/policies/adaptive-admission-policy.ts
@@ -13,8 +13,8 @@
 import { AdaptiveConcurrencyLimit } from './adaptive-concurrency-limit.js';
 import { TeamQueue } from './team-queue.js';
 
-/** Largest share of the time to its deadline that a request may wait in the queue. */
-const MAXIMUM_WAIT_SHARE = 0.1;
+/** Largest fraction of the time to its deadline that a request may wait in the queue. */
+const MAXIMUM_WAIT_FRACTION = 0.1;
 /** Lower bound of {@link AdmissionRefusal.retryAfter}. Milliseconds. */
 const MINIMUM_RETRY_AFTER_MS = 100;
 
@@ -51,7 +51,7 @@
       return Promise.resolve(this.refusal('caller disconnected before admission'));
     if (remaining <= 0) return Promise.resolve(this.refusal('deadline passed before admission'));
     if (this.hasCapacity) return Promise.resolve(this.issueTicket());
-    if (this.expectedWait(this.queue.countAhead(team)) > remaining * MAXIMUM_WAIT_SHARE) {
+    if (this.expectedWait(this.queue.countAhead(team)) > remaining * MAXIMUM_WAIT_FRACTION) {
       return Promise.resolve(this.refusal('expected queue wait is too long for the deadline'));
     }
     return this.enqueue(request);
@@ -74,7 +74,7 @@
     return new Promise((resolve) => {
       const onAbort = (): void =>
         waiter.settle(this.refusal('caller disconnected before admission'));
-      const timer: Timer = this.clock.setTimer(remaining * MAXIMUM_WAIT_SHARE, () =>
+      const timer: Timer = this.clock.setTimer(remaining * MAXIMUM_WAIT_FRACTION, () =>
         waiter.settle(this.refusal('queue wait is too long for the deadline')),
       );
       const waiter: Waiter = {
--- a/src/policies/adaptive-concurrency-limit.ts
+++ b/src/policies/adaptive-concurrency-limit.ts
@@ -8,7 +8,8 @@
  * a window. The baseline rises when the limit is not used, since no requests queue
  * then, and when throughput falls while the limit is used, since the back ends have
  * then become slower. It does not rise with time alone: an overload of any length
- * must not become the baseline.
+ * must not become the baseline. The limit counts as used in a window
+ * in which the requests in flight reached at least half of it.
  */
 
 /** Requests after which the limit is recomputed. */
@@ -22,10 +23,10 @@
 const INITIAL_LIMIT = 32;
 /** Weight of the mean latency of an unused window in the moving average of the baseline. */
 const UNUSED_WINDOW_WEIGHT = 0.05;
-/** Below this share of the best throughput the back ends count as slow. */
-const SLOW_THROUGHPUT_SHARE = 0.7;
-/** Share by which a slow window raises the baseline and lowers the best throughput. */
-const SLOW_WINDOW_STEP = 0.1;
+/** Below this fraction of the best throughput the back ends count as having become slower. */
+const SLOW_THROUGHPUT_FRACTION = 0.7;
+/** Fraction by which a slow window raises the baseline and lowers the best throughput. */
+const SLOW_WINDOW_STEP_FRACTION = 0.1;
 
 /** Computes the limit only; the caller counts and enforces the requests in flight. */
 export class AdaptiveConcurrencyLimit {
@@ -91,10 +92,10 @@
 
   private baselineOfUsedWindow(meanLatency: number, throughput: number): number {
     const { baselineLatency = meanLatency, bestThroughput } = this;
-    const isSlow = throughput < SLOW_THROUGHPUT_SHARE * bestThroughput;
-    const best = isSlow ? bestThroughput * (1 - SLOW_WINDOW_STEP) : bestThroughput;
+    const isSlow = throughput < SLOW_THROUGHPUT_FRACTION * bestThroughput;
+    const best = isSlow ? bestThroughput * (1 - SLOW_WINDOW_STEP_FRACTION) : bestThroughput;
     if (Number.isFinite(throughput)) this.bestThroughput = Math.max(best, throughput);
-    return isSlow ? baselineLatency * (1 + SLOW_WINDOW_STEP) : baselineLatency;
+    return isSlow ? baselineLatency * (1 + SLOW_WINDOW_STEP_FRACTION) : baselineLatency;
   }
 
   /** The limit does not grow while it is not used. */
--- a/src/policies/attempt-budget.ts
+++ b/src/policies/attempt-budget.ts
@@ -11,7 +11,7 @@
 export interface AttemptBudgetOptions {
   /** Deposit for each first attempt, in percent of an extra attempt's cost. */
   readonly depositPercent: number;
-  /** Extra attempts that are allowed before any deposit. */
+  /** Extra attempts that are allowed before any deposit; none are when `depositPercent` is 0. */
   readonly initialReserve: number;
   /** Most extra attempts that the balance can hold, which bounds a burst. */
   readonly maximumReserve: number;
--- a/src/policies/expected-gain-policy.ts
+++ b/src/policies/expected-gain-policy.ts
@@ -11,14 +11,14 @@
 const DIGEST_WINDOW = 4_000;
 /** Below this many samples the digest is too sparse, and every decision explores. */
 const MINIMUM_SAMPLES = 200;
-/** Candidate waits, as shares of the time since the request was received. */
-const WAIT_SHARES: readonly number[] = [1 / 16, 1 / 8, 1 / 4, 1 / 2, 1];
+/** Candidate waits, as fractions of the time since the request was received. */
+const WAIT_FRACTIONS: readonly number[] = [1 / 16, 1 / 8, 1 / 4, 1 / 2, 1];
 /**
- * Share of decisions that wait as long again as the query has taken, regardless of
+ * Fraction of decisions that wait as long again as the query has taken, regardless of
  * the expected gain. Without them the digest would never learn that replies which
  * are no longer waited for have become fast.
  */
-const EXPLORATION_SHARE = 1 / 500;
+const EXPLORATION_FRACTION = 1 / 500;
 
 /** One instance serves all queries of a service in this router. */
 export class ExpectedGainPolicy implements CompletionPolicy {
@@ -41,19 +41,19 @@
   furtherWait(progress: QueryProgress): number {
     const { elapsed } = progress;
     const isExploring =
-      this.digest.weight < MINIMUM_SAMPLES || this.random.nextFloat() < EXPLORATION_SHARE;
-    return elapsed * (isExploring ? 1 : this.bestWaitShare(progress));
+      this.digest.weight < MINIMUM_SAMPLES || this.random.nextFloat() < EXPLORATION_FRACTION;
+    return elapsed * (isExploring ? 1 : this.bestWaitFraction(progress));
   }
 
-  /** The wait with the largest net gain, as a share of the elapsed time; 0 when no wait has one. */
-  private bestWaitShare({ elapsed, sinceAsked, pending, shardCount }: QueryProgress): number {
+  /** The wait with the largest net gain, as a fraction of the elapsed time; 0 when no wait has one. */
+  private bestWaitFraction({ elapsed, sinceAsked, pending, shardCount }: QueryProgress): number {
     let best = 0;
     let bestNetGain = 0;
-    for (const share of WAIT_SHARES) {
-      const probability = this.digest.chanceOfReply(sinceAsked, elapsed * share);
-      const netGain = (pending / shardCount) * probability - this.minimumGain * share;
+    for (const fraction of WAIT_FRACTIONS) {
+      const probability = this.digest.chanceOfReply(sinceAsked, elapsed * fraction);
+      const netGain = (pending / shardCount) * probability - this.minimumGain * fraction;
       if (netGain <= bestNetGain) continue;
-      best = share;
+      best = fraction;
       bestNetGain = netGain;
     }
     return best;
--- a/src/policies/no-hedge-policy.ts
+++ b/src/policies/no-hedge-policy.ts
@@ -1,7 +1,7 @@
 /** Hedging switched off. */
 import type { HedgePolicy } from './hedge-policy.js';
 
-/** Never hedges: every attempt runs until its reply, its failure or the deadline. */
+/** Never hedges, however slow an attempt is: the baseline to which hedging is compared. */
 export class NoHedgePolicy implements HedgePolicy {
   recordFirstAttempt(): void {}
 
--- a/src/policies/outlier-ejection.ts
+++ b/src/policies/outlier-ejection.ts
@@ -8,8 +8,8 @@
 
 /** Consecutive failures after which a replica is ejected. */
 const CONSECUTIVE_FAILURES_TO_EJECT = 3;
-/** Largest share of the replicas with recorded attempts that may be ejected. */
-const MAXIMUM_EJECTED_SHARE = 0.5;
+/** Largest fraction of the replicas with recorded attempts that may be ejected. */
+const MAXIMUM_EJECTED_FRACTION = 0.5;
 /** Duration of the first ejection; doubles with each consecutive one. Milliseconds. */
 const BASE_EJECTION_MS = 1_000;
 const MAXIMUM_EJECTION_MS = 8_000;
@@ -64,7 +64,7 @@
     const ejected = [...this.healthByReplica.values()].filter(
       ({ ejectedUntil }) => now < ejectedUntil,
     );
-    return ejected.length + 1 <= MAXIMUM_EJECTED_SHARE * this.healthByReplica.size;
+    return ejected.length + 1 <= MAXIMUM_EJECTED_FRACTION * this.healthByReplica.size;
   }
 
   private healthOf({ replicaId, incarnation }: ReplicaProcess): ReplicaHealth {
--- a/src/policies/quantile-hedge-policy.ts
+++ b/src/policies/quantile-hedge-policy.ts
@@ -22,8 +22,8 @@
 const INITIAL_RESERVE = 1;
 /** Most hedges that the budget can hold, which bounds a burst. */
 export const MAXIMUM_HEDGE_RESERVE = 20;
-/** The quantile is raised until the expected hedges use at most this share of the budget. */
-const TARGET_BUDGET_USE = 0.9;
+/** The quantile is raised until the expected hedges use at most this fraction of the budget. */
+const TARGET_BUDGET_FRACTION = 0.9;
 
 /** Settings of {@link QuantileHedgePolicy}. */
 export interface QuantileHedgeOptions {
@@ -55,7 +55,7 @@
   constructor({ quantile, budgetPercent }: QuantileHedgeOptions) {
     // A lower quantile would select more attempts for hedging than the budget allows,
     // and the budget would go to the earliest of them instead of the slowest.
-    this.quantile = Math.max(quantile, 1 - (TARGET_BUDGET_USE * budgetPercent) / 100);
+    this.quantile = Math.max(quantile, 1 - (TARGET_BUDGET_FRACTION * budgetPercent) / 100);
     this.budget = new AttemptBudget({
       depositPercent: budgetPercent,
       initialReserve: INITIAL_RESERVE,
--- a/src/policies/replica-selector.ts
+++ b/src/policies/replica-selector.ts
@@ -6,7 +6,7 @@
   readonly replica: ReplicaDefinition;
   /** Attempts of this router in flight on the replica. */
   readonly inFlight: number;
-  /** Moving average of the attempts' latency; undefined before the first. Milliseconds. */
+  /** Moving average of recent attempts' latency; undefined before the first. Milliseconds. */
   readonly smoothedLatency: number | undefined;
   /** Share of recent attempts that failed, 0 to 1. */
   readonly failureRate: number;
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -175,7 +175,10 @@
     this.slots.notifyWaiters(fingerprint);
   }
 
-  /** All gateways together run one trial of a replicated suspicion; each gateway runs its own trials of a local one. */
+  /**
+   * Starts a trial if it may begin now. Of a request that the controllers suspect, all gateways
+   * together run one trial at a time; of one that only this gateway suspects, each runs its own.
+   */
   private tryStartTrial(fingerprint: string): boolean {
     if (!this.slots.isFree(fingerprint)) return false;
     const suspicion = this.evidenceStore.replicatedSuspicion(fingerprint);
--- a/src/quarantine/evidence-reporter.ts
+++ b/src/quarantine/evidence-reporter.ts
@@ -1,9 +1,9 @@
 /**
  * Reports this gateway's evidence about requests with which replicas terminated to the
- * controllers. Trials and answers are reported at once, since another gateway may receive the
- * same request at any moment. Other evidence is reported after a short delay: most such requests
- * are answered by another replica in the meantime, and then there is nothing to report. Bounded
- * in the reports that it keeps and in those that it sends per second.
+ * controllers. Answers, and terminations in trials, are reported at once, since another gateway
+ * may receive the same request at any moment. Other evidence is reported after a short delay: most
+ * such requests are answered by another replica in the meantime, and then there is nothing to
+ * report. Bounded in the reports that it keeps and in those that it sends per second.
  */
 import type { Clock } from '../seams/clock.js';
 import { RecentMap } from './recent-map.js';
@@ -12,7 +12,10 @@
 
 /** Delay of a report that is not urgent, and interval between batches; longer than most answers take. Milliseconds. */
 const REPORT_INTERVAL_MS = 100;
-/** Bounds each batch, so that a gateway that loses a zone's replicas does not overload the controllers. */
+/**
+ * Most reports of one batch; without a bound a gateway that loses a zone's replicas would overload
+ * the controllers.
+ */
 const MAXIMUM_REPORTS_PER_INTERVAL = 8;
 /** Interval after which a report without a matching replicated entry is sent again. Milliseconds. */
 const RESEND_INTERVAL_MS = 1_000;
@@ -84,12 +87,12 @@
     }
   }
 
-  private recordSent({ change, sendCount: repeats }: PendingReport, now: number): void {
-    if (repeats >= MAXIMUM_RESENDS) {
+  private recordSent({ change, sendCount }: PendingReport, now: number): void {
+    if (sendCount >= MAXIMUM_RESENDS) {
       this.pending.delete(change.fingerprint);
       return;
     }
     const dueAt = now + RESEND_INTERVAL_MS;
-    this.pending.set(change.fingerprint, { change, dueAt, sendCount: repeats + 1 });
+    this.pending.set(change.fingerprint, { change, dueAt, sendCount: sendCount + 1 });
   }
 }
--- a/src/quarantine/quarantine-entry.ts
+++ b/src/quarantine/quarantine-entry.ts
@@ -31,7 +31,7 @@
   Quarantined = 'quarantined',
   /** A replica answered the request, so the replicas terminated for another reason. */
   Answered = 'answered',
-  /** An operator lifted the quarantine. */
+  /** An operator lifted the quarantine or the suspicion, so the request is sent as any other. */
   Lifted = 'lifted',
 }
 
@@ -74,7 +74,7 @@
   return state !== QuarantineState.Answered && state !== QuarantineState.Lifted;
 }
 
-/** The distinct ids of both lists, bounded in their number; each further id is bounded in length. */
+/** The distinct ids of both lists, bounded in number; each id of `further` is also bounded in length. */
 export function mergeReplicaIds(known: readonly string[], further: readonly string[]): string[] {
   const ids = further.map((id) => id.slice(0, MAXIMUM_REPLICA_ID_LENGTH));
   return [...new Set([...known, ...ids])].slice(0, MAXIMUM_REPLICAS_PER_ENTRY);
--- a/src/quarantine/quarantine-metrics.ts
+++ b/src/quarantine/quarantine-metrics.ts
@@ -5,7 +5,10 @@
 export enum TrialResult {
   Answered = 'answered',
   ReplicaEnded = 'replica_ended',
-  /** The replica did not run the request, or the attempt was abandoned. */
+  /**
+   * The replica did not run the request, the attempt was abandoned, or its connection was lost
+   * while the replica was not found to have terminated.
+   */
   Undecided = 'undecided',
 }
 
--- a/src/quarantine/quarantine-orders.ts
+++ b/src/quarantine/quarantine-orders.ts
@@ -36,8 +36,9 @@
   constructor(private readonly options: QuarantineOrdersOptions) {}
 
   /**
-   * Lifts the quarantine of a request; resolves once the change is durable. An entry that is
-   * already lifted, or whose request a replica has answered, does not change.
+   * Lifts the quarantine or the suspicion of a request, which replicas then receive as any other;
+   * resolves once the change is durable. An entry that is already lifted, or whose request a
+   * replica has answered, does not change.
    *
    * @throws UnknownFingerprintError when the register has no entry for the fingerprint.
    * @throws NoQuorumError when this controller may lack committed changes.
--- a/src/quarantine/quarantine-register.ts
+++ b/src/quarantine/quarantine-register.ts
@@ -1,8 +1,8 @@
 /**
  * The replicated register of requests with which replicas terminated. A section of the state
  * machine: every controller has the same entries, and they survive a power loss of all
- * controllers. Bounded: the entry that is unchanged for longest is evicted first, and
- * quarantined entries last.
+ * controllers. Bounded: the entry whose last change is the oldest is evicted first,
+ * and quarantined entries last.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
@@ -28,7 +28,7 @@
   Evidence = 'evidence',
   /** A replica answered the request. */
   Answer = 'answer',
-  /** An operator lifts the quarantine of the request. */
+  /** An operator lifts the quarantine or the suspicion of the request. */
   Lift = 'lift',
   /** A gateway requests the grant to run a trial of the request. */
   Trial = 'trial',
@@ -54,7 +54,10 @@
   replaces: '',
 } as const;
 
-/** Whether a change has priority: only terminations outside of trials never decide a state by themselves. */
+/**
+ * Whether a change goes before others. Only evidence from outside of trials does not: where trials
+ * are enabled it quarantines no request by itself.
+ */
 export function isUrgent({ kind, endedInTrial }: QuarantineChange): boolean {
   return kind !== QuarantineChangeKind.Evidence || endedInTrial.length > 0;
 }
--- a/src/quarantine/trial-grants.ts
+++ b/src/quarantine/trial-grants.ts
@@ -2,7 +2,8 @@
  * Grants to run a trial of a request that all gateways suspect. Without them a request that
  * arrives at many gateways at the same moment would be tried by each of them. The controllers
  * give one grant per request at a time, to a holder that the gateway names. A holder that keeps
- * it for too long is replaced, and a gateway whose controllers do not answer grants itself.
+ * it for too long is replaced, and a gateway whose controllers do not answer gives the grant to
+ * itself.
  */
 import type { Clock, Timer } from '../seams/clock.js';
 import { QuarantineState, type QuarantineEntry } from './quarantine-entry.js';
@@ -10,7 +11,7 @@
 
 /** Interval at which a pending grant request is checked. Milliseconds. */
 const CHECK_INTERVAL_MS = 250;
-/** Controllers that have given the grant to no holder for this long have no quorum. Milliseconds. */
+/** Controllers that have given the grant to no holder for this long count as without quorum. Milliseconds. */
 const UNANSWERED_TIMEOUT_MS = 500;
 /** Much longer than a trial takes; a gateway that holds a grant for this long counts as lost. Milliseconds. */
 const HOLDER_TIMEOUT_MS = 2_000;
@@ -57,7 +58,10 @@
     return true;
   }
 
-  /** Gives the grant or its request back, since the trial has ended or will not take place. */
+  /**
+   * Gives the grant back for the next holder, or withdraws the request for it; called when the
+   * trial has ended or will not take place.
+   */
   release(fingerprint: string): void {
     const request = this.drop(fingerprint);
     if (request === undefined) return;
@@ -78,7 +82,7 @@
     if (trialHolder === '') this.sendGrantRequest(fingerprint, request);
   }
 
-  /** Gives the grant of a trial on a hung replica back, so that other holders need not wait for it. */
+  /** Gives back the grant of a trial whose replica hangs, so that other holders need not wait for it. */
   private expire(fingerprint: string): void {
     this.release(fingerprint);
     this.parts.onChange(fingerprint);
--- a/src/quarantine/trial-slots.ts
+++ b/src/quarantine/trial-slots.ts
@@ -32,7 +32,7 @@
     return this.slots.get(fingerprint)?.isFree !== false;
   }
 
-  /** True when the caller now has the slot, until it calls {@link TrialSlots.release}. */
+  /** True when the caller may run a trial now, whose end it reports with {@link TrialSlots.release}. */
   tryAcquire(fingerprint: string): boolean {
     const slot = this.slotOf(fingerprint);
     if (!slot.isFree) return false;
--- a/test/policies/adaptive-concurrency-limit.test.ts
+++ b/test/policies/adaptive-concurrency-limit.test.ts
@@ -40,7 +40,7 @@
     expect(limit.value).toBe(before);
   });
 
-  it('recovers its limit when back ends have become slower without an overload', () => {
+  it('does not treat back ends that have become slower as overloaded for long', () => {
     const limit = new AdaptiveConcurrencyLimit(MAXIMUM);
     const now = runSaturated(limit, 100, 20);
     expect(limit.value).toBeGreaterThanOrEqual(100);
--- a/test/quarantine/crash-guard.test.ts
+++ b/test/quarantine/crash-guard.test.ts
@@ -69,7 +69,7 @@
     expect(guard.admit('f', noop)).toBe(CrashGuardDecision.Refused);
   });
 
-  it('clears a request that a replica answers, also of terminations shortly after the answer', () => {
+  it('clears a request that a replica answers, and ignores its terminations shortly after the answer', () => {
     const { guard, clock } = createGuard();
     for (const replica of ['a', 'b', 'c', 'd']) guard.recordTermination(REQUEST, replica, true);
     guard.recordAnswer('f');
--- a/test/quarantine/crashing-fleet.ts
+++ b/test/quarantine/crashing-fleet.ts
@@ -1,4 +1,4 @@
-/** Gateways over replicas that crash on one request and restart a few seconds later. */
+/** Gateways over replicas that crash on one request and restart a few seconds later, as other replicas by default. */
 import type { ExchangeReplica, ReplicaRun } from '../../lab/exchange/exchange-replica.js';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
 import type { HttpClientResponse } from '../../src/seams/http.js';
@@ -40,7 +40,7 @@
   readonly dropsAbandoned?: boolean;
   readonly workMs?: number;
   readonly seed?: number;
-  /** Whether replicas restart under the same replica ids. */
+  /** Whether replicas restart under the same replica ids, as new incarnations; new ids by default. */
   readonly keepsIds?: boolean;
   /** Zones of the replicas of a service, assigned round-robin. */
   readonly zones?: readonly string[];
@@ -122,7 +122,7 @@
     return [...this.replicas.keys()].filter((replica) => !this.terminated.has(replica));
   }
 
-  /** Terminates the running replicas that match, regardless of their work; they restart later. */
+  /** Terminates the running replicas that match, regardless of their work; each restarts later as a new incarnation. */
   terminateReplicas(matches: (replica: ExchangeReplica) => boolean): void {
     for (const replica of this.running()) {
       if (matches(replica)) this.terminate(replica);
--- a/test/quarantine/crashing-request.test.ts
+++ b/test/quarantine/crashing-request.test.ts
@@ -97,7 +97,7 @@
     expect(statuses.slice(3).every((status) => status === 429)).toBe(true);
   });
 
-  it('is quarantined when each request is sent to replicas at most once', async () => {
+  it('reaches replicas a bounded number of times, and one per request, when each request is sent at most once', async () => {
     const fleet = await CrashingFleet.start('/one/crash', {
       ...LOOK_UP_FLEET,
       route: { ...LOOK_UP, execution: 'atMostOnce' },
@@ -109,7 +109,7 @@
     }
   });
 
-  it('is quarantined when its callers disconnect before the replicas crash', async () => {
+  it('reaches replicas a bounded number of times when its callers disconnect before the replicas crash', async () => {
     const fleet = await CrashingFleet.start('/one/crash', {
       ...LOOK_UP_FLEET,
       workMs: 150,
--- a/test/quarantine/trial-grants.test.ts
+++ b/test/quarantine/trial-grants.test.ts
@@ -64,7 +64,7 @@
     expect(createGrants(false).grants.tryUse(entry(''))).toBe(true);
   });
 
-  it('gives the grant back when the trial hangs', () => {
+  it('gives the grant back when the trial hangs, so that other holders need not wait', () => {
     const { grants, clock, sent, onChange } = createGrants();
     grants.tryUse(entry(''));
     grants.applyEntry(entry('g/1'));
