--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -266,7 +266,7 @@
   private noteRoutes(): void {
     const document = this.options.register.current();
     if (document === undefined) return;
-    this.routeHistory.note(document.version, this.options.environment.clock.now());
+    this.routeHistory.record(document.version, this.options.environment.clock.now());
   }
 
   /** See `StatusMessage.ageMs`. */
--- a/src/gateway/replica-race.ts
+++ b/src/gateway/replica-race.ts
@@ -216,7 +216,7 @@
     record.result = result;
     observeAttempt(this.context, this.request.route, this.options.latency, target, record);
     if (isConnectionLost(result)) {
-      this.context.decisions.connectionLost(this.request, this.service, record);
+      this.context.decisions.logConnectionLost(this.request, this.service, record);
     }
     // Its own result is no news to it: woken for it, it would go on before it has taken it.
     if (isTrial) this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onNews);
--- a/test/gateway/waiting-replay.test.ts
+++ b/test/gateway/waiting-replay.test.ts
@@ -208,10 +208,10 @@
       { ...USUAL, workMs: (index) => (index % 3 === 0 ? 8 : 1) * WORK_MS },
     ],
     ['no load reports', { ...USUAL, fault: () => ModelFault.Silent }],
-    ['reports that always say idle', { ...USUAL, fault: () => ModelFault.SaysIdle }],
-    ['a third that always says full', withFault(ModelFault.SaysFull)],
+    ['reports that always say idle', { ...USUAL, fault: () => ModelFault.ReportsIdle }],
+    ['a third that always says full', withFault(ModelFault.ReportsFull)],
     ['a third never answers', withFault(ModelFault.Hangs)],
-    ['a third drops opening packets', withFault(ModelFault.DropsOpenings)],
+    ['a third drops opening packets', withFault(ModelFault.DropsConnections)],
   ];
   it.each(scenarios)('with %s serves more in time than without the bounds', async (...played) => {
     const [before, after] = await compare(...played);
