--- a/src/policies/no-hedge-policy.ts
+++ b/src/policies/no-hedge-policy.ts
@@ -1,9 +1,9 @@
-/** Never hedges. */
+/** Hedging switched off. */
 import type { HedgePolicy } from './hedge-policy.js';
 
-/** The baseline: each attempt is waited for. */
+/** Never hedges, however slow an attempt is: the baseline to which hedging is compared. */
 export class NoHedgePolicy implements HedgePolicy {
-  recordPrimary(): void {}
+  recordFirstAttempt(): void {}
 
   recordLatency(): void {}
 
@@ -13,7 +13,7 @@
     return undefined;
   }
 
-  takeBudget(): boolean {
+  tryTakeBudget(): boolean {
     return false;
   }
 }
--- a/test/quarantine/abandoned-attempts.test.ts
+++ b/test/quarantine/abandoned-attempts.test.ts
@@ -7,29 +7,29 @@
   isTrial: false,
 };
 
-describe('abandoned attempts', () => {
-  it('are what a replica may have worked on, once', () => {
+describe('AbandonedAttempts of a gateway', () => {
+  it('returns the abandoned attempts of a lost replica once', () => {
     const abandoned = new AbandonedAttempts(new ManualClock());
-    abandoned.note('a', ATTEMPT, 1_000);
+    abandoned.record('a', ATTEMPT, 1_000);
     expect(abandoned.takeAll('b')).toEqual([]);
     expect(abandoned.takeAll('a')).toEqual([ATTEMPT]);
     expect(abandoned.takeAll('a')).toEqual([]);
   });
 
-  it('are not, once their time at the replica is over', () => {
+  it('does not return attempts whose time at the replica has passed', () => {
     const clock = new ManualClock();
     const abandoned = new AbandonedAttempts(clock);
-    abandoned.note('a', ATTEMPT, 300);
-    abandoned.note('b', ATTEMPT, 1_000_000);
+    abandoned.record('a', ATTEMPT, 300);
+    abandoned.record('b', ATTEMPT, 1_000_000);
     clock.advance(400);
     expect(abandoned.takeAll('a')).toEqual([]);
     clock.advance(60_000);
     expect(abandoned.takeAll('b')).toEqual([]);
   });
 
-  it('are remembered in a bounded number', () => {
+  it('keeps a bounded number of attempts per replica', () => {
     const abandoned = new AbandonedAttempts(new ManualClock());
-    for (let index = 0; index < 10_000; index += 1) abandoned.note('a', ATTEMPT, 1_000);
+    for (let index = 0; index < 10_000; index += 1) abandoned.record('a', ATTEMPT, 1_000);
     expect(abandoned.takeAll('a').length).toBeLessThan(100);
   });
 });
