--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -133,12 +133,12 @@
       return this.reject(request, GatewayRefusal.RateLimited, reason, { retryAfterMs });
     }
     if (signal.aborted) {
-      quota.giveBack(tenant, this.context.environment.clock.now());
+      quota.returnToken(tenant, this.context.environment.clock.now());
       return this.reject(request, GatewayRefusal.NotRun, CALLER_GONE);
     }
     const takenAt = this.context.environment.clock.now();
     const response = await this.forward(callerRequest);
-    if (this.ranNowhere(response)) quota.giveBack(tenant, takenAt);
+    if (this.ranNowhere(response)) quota.returnToken(tenant, takenAt);
     return response;
   }
 
--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -52,14 +52,16 @@
   /** Takes from now on what the controllers answer to the renewal of the lease. */
   observeControllers(): void {
     const { followed, confirmations } = this.options.client;
-    observe(followed, () => this.renewal?.noteFollowed());
-    observe(confirmations, ({ number, version }) => this.renewal?.takeAnswer(number, version));
+    observe(followed, () => this.renewal?.handleControllerConnected());
+    observe(confirmations, ({ number, version }) =>
+      this.renewal?.handleConfirmation(number, version),
+    );
   }
 
   /** A table has come into force. */
   useTable(table: RouteTable): void {
-    this.renewal?.useTable(table);
-    this.limits?.useTenants(table.tenants);
+    this.renewal?.setRouteTable(table);
+    this.limits?.setTenants(table.tenants);
   }
 
   /** Renews the lease until stopped. */
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -80,7 +80,8 @@
   constructor(document: RouteDocument, before?: RouteTable) {
     this.version = document.version;
     this.limits = document.limits;
-    this.tenants = document.tenants && TenantDirectory.of(document.tenants, before?.tenants);
+    this.tenants =
+      document.tenants && TenantDirectory.createOrReuse(document.tenants, before?.tenants);
     this.needsKeys = this.tenants !== undefined && document.routes.some((route) => !route.public);
     this.listsByName = distinctLists(document.routes, before?.listsByName ?? new Map());
     this.shardLists = [...this.listsByName.values()];
--- a/test/gateway/waiting-replay.test.ts
+++ b/test/gateway/waiting-replay.test.ts
@@ -91,7 +91,7 @@
     regions: new ZoneRegions({}, { zone: 'a', region: 'r' }),
     secondSends: { ratio: 0.2, slack: 214, windowMs: 10_000 },
     lease: { isHeld: true, retryAfterMs: 0 },
-    quota: { take: () => ({ isAdmitted: true }), giveBack: () => undefined },
+    quota: { take: () => ({ isAdmitted: true }), returnToken: () => undefined },
     countGateways: () => GATEWAYS,
     reportEvidence: () => false,
   });
--- a/test/tenants/lease-model.ts
+++ b/test/tenants/lease-model.ts
@@ -67,7 +67,7 @@
     const clock = { now: () => origin + this.now * this.rate };
     const { random, faults } = this;
     const keeper = new LeaseKeeper({ clock, random, boundMs: BOUND_MS, faults });
-    keeper.useTable(this.version, true);
+    keeper.setRouteTable(this.version, true);
     return keeper;
   }
 
@@ -78,7 +78,7 @@
     if (this.happens(1 / 20_000)) this.restart();
     if (this.now < this.frozenUntil) return;
     this.deliver();
-    if (this.keeper.askDueInMs <= 0) this.ask();
+    if (this.keeper.requestDueInMs <= 0) this.ask();
     this.request();
   }
 
@@ -106,7 +106,7 @@
   private useDocument(version: number): void {
     if (version <= this.version) return;
     this.version = version;
-    this.keeper.useTable(version, true);
+    this.keeper.setRouteTable(version, true);
   }
 
   /** The document in force is known before the start, as it comes before any answer could. */
@@ -117,13 +117,13 @@
   }
 
   private ask(): void {
-    const { number } = this.keeper.beginAsk();
+    const { number } = this.keeper.beginRequest();
     if (this.now < this.cutUntil) return;
     const arrivesAt = this.now + this.drawDelay();
     const provenAt = arrivesAt + this.drawDelay();
     const answeredAt = provenAt + this.drawDelay();
     this.deliverLater(answeredAt - this.now, () => {
-      this.keeper.takeAnswer(number, this.versionToldAt(arrivesAt, provenAt));
+      this.keeper.handleConfirmation(number, this.versionToldAt(arrivesAt, provenAt));
     });
   }
 
--- a/test/tenants/quota-designs.test.ts
+++ b/test/tenants/quota-designs.test.ts
@@ -1,6 +1,6 @@
 /** The design that was built beside others that were weighed, in the same replay. */
 import { describe, expect, it } from 'vitest';
-import { boundsOf } from '../../src/tenants/quota-bounds.js';
+import { computeQuotaBounds } from '../../src/tenants/quota-bounds.js';
 import type { Tenant } from '../../src/tenants/tenant.js';
 import { TokenBucket } from '../../src/tenants/token-bucket.js';
 import {
@@ -35,11 +35,11 @@
 
 /** Decides anew, by a share of the limit at each gateway. */
 function divideEqually(replay: QuotaReplay, tenant: Tenant): void {
-  const bounds = boundsOf(tenant, SETTINGS);
+  const bounds = computeQuotaBounds(tenant, SETTINGS);
   const share = {
     ...bounds,
     ratePerMs: bounds.ratePerMs / GATEWAYS,
-    capacity: (bounds.capacity + bounds.unconfirmed) / GATEWAYS,
+    capacity: (bounds.capacity + bounds.maximumUnconfirmed) / GATEWAYS,
   };
   const buckets = replay.outcomes.map(() => new TokenBucket(share, 0, share.capacity));
   for (const outcome of replay.outcomes) {
@@ -87,7 +87,7 @@
 
   it.each(SEEDS)('one unconfirmed use at each gateway delays least, seed %i', async (seed) => {
     const replay = new QuotaReplay(GATEWAYS, seed);
-    replay.countGateways = () => boundsOf(tenant, SETTINGS).unconfirmed;
+    replay.countGateways = () => computeQuotaBounds(tenant, SETTINGS).maximumUnconfirmed;
     await play(replay, tenant);
     const figures = figuresOf(replay, tenant, 'one unconfirmed each');
     expect(figures.waited).toBeLessThan(0.1);
--- a/test/tenants/quota-link.test.ts
+++ b/test/tenants/quota-link.test.ts
@@ -71,7 +71,7 @@
       countGateways: () => gateways,
       controllers: () => this.controllers.map((_, index) => this.addressOf(index)),
     });
-    quota.useTenants(new TenantDirectory([TENANT]));
+    quota.setTenants(new TenantDirectory([TENANT]));
     return quota;
   }
 
@@ -270,7 +270,7 @@
       controllers: () => expect.fail('a controller was looked for'),
     });
     const free = { ...TENANT, requestsPerSecond: 0 };
-    quota.useTenants(new TenantDirectory([free]));
+    quota.setTenants(new TenantDirectory([free]));
     expect(quota.client.take(free)).toEqual({ isAdmitted: true });
     await fleet.simulation.runFor(2_000);
   });
--- a/test/tenants/quota-owner-changes.test.ts
+++ b/test/tenants/quota-owner-changes.test.ts
@@ -33,8 +33,8 @@
   const owner = new QuotaOwner({
     clock: clock as never,
     settings: SETTINGS,
-    tenant: () => tenant,
-    onLimit: () => undefined,
+    findTenant: () => tenant,
+    onLimitReached: () => undefined,
   });
   const clients = Array.from({ length: gateways }, () => {
     const client = new QuotaClient({
@@ -42,10 +42,10 @@
       random: { nextFloat: () => 0.999 } as never,
       settings: SETTINGS,
       countGateways: () => gateways,
-      onWanted: () => undefined,
+      onRequestQueued: () => undefined,
       onDecision: () => undefined,
     });
-    client.connected();
+    client.handleConnected();
     return client;
   });
   let passed = 0;
@@ -56,8 +56,8 @@
     return !(decision instanceof Promise);
   };
   const exchange = async (client: QuotaClient): Promise<void> => {
-    for (const answer of client.takeAsks().map((one) => owner.answer(one))) {
-      client.takeAnswer(answer);
+    for (const answer of client.takeRequests().map((one) => owner.handleRequest(one))) {
+      client.handleResponse(answer);
     }
     client.endRound();
     for (let turn = 0; turn < 4; turn += 1) await Promise.resolve();
@@ -75,10 +75,10 @@
       for (let tries = 0; tries < QUIET_TRIES && ask(client); tries += 1);
     }
     for (const client of quiet) await exchange(client);
-    for (const client of clients) client.lost();
+    for (const client of clients) client.handleDisconnected();
     now = START + end + GAP_MS;
-    owner.begin();
-    for (const client of clients) client.connected();
+    owner.startOwnership();
+    for (const client of clients) client.handleConnected();
     // The new owner takes off the pressure that the one before told them.
     for (const client of quiet) ask(client);
     for (const client of quiet) await exchange(client);
--- a/test/tenants/quota-owner.test.ts
+++ b/test/tenants/quota-owner.test.ts
@@ -18,12 +18,12 @@
   const owner = new QuotaOwner({
     clock: { now: () => now, wallTime: unused, setTimer: unused, sleep: unused },
     settings: SETTINGS,
-    tenant: (name) => tenants.get(name),
-    onLimit: () => undefined,
+    findTenant: (name) => tenants.get(name),
+    onLimitReached: () => undefined,
   });
   const use = (waiting: number): number => {
     const counts = { spent: 0, returned: 0, ahead: 0, refused: 0, refusedWithoutOwner: 0 };
-    return owner.answer({ kind: 'ask', tenant: TENANT.name, waiting, ...counts }).granted;
+    return owner.handleRequest({ kind: 'ask', tenant: TENANT.name, waiting, ...counts }).granted;
   };
   now = FORGOTTEN_BY_MS;
   expect(use(0)).toBe(0);
--- a/test/tenants/quota-replay.test.ts
+++ b/test/tenants/quota-replay.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
-import { QuotaPath } from '../../src/tenants/quota-path.js';
+import { QuotaDecisionPath } from '../../src/tenants/quota-decision-path.js';
 import type { Tenant } from '../../src/tenants/tenant.js';
 import {
   admittedByLimit,
@@ -155,7 +155,9 @@
         faults[fault]?.(replay, owner);
         await replay.runUntil(60 * SECOND);
         expectWithinBound(replay, 'one');
-        ownerless += replay.outcomes.filter(({ path }) => path === QuotaPath.WithoutOwner).length;
+        ownerless += replay.outcomes.filter(
+          ({ path }) => path === QuotaDecisionPath.WithoutOwner,
+        ).length;
       }
       // Without such uses the bound would be kept by refusing everything.
       if (fault === 'all gateways are cut off') expect(ownerless).toBeGreaterThan(0);
--- a/test/tenants/quota-replay.ts
+++ b/test/tenants/quota-replay.ts
@@ -2,12 +2,12 @@
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
 import type { QuotaSettings } from '../../src/configuration/tenant-settings.js';
 import type { Clock } from '../../src/seams/clock.js';
-import { boundsOf } from '../../src/tenants/quota-bounds.js';
+import { computeQuotaBounds } from '../../src/tenants/quota-bounds.js';
 import { QuotaClient } from '../../src/tenants/quota-client.js';
-import type { QuotaPath } from '../../src/tenants/quota-path.js';
+import type { QuotaDecisionPath } from '../../src/tenants/quota-decision-path.js';
 import {
   QUOTA_CODEC,
-  type QuotaAskMessage,
+  type TokenRequestMessage,
   type QuotaMessage,
 } from '../../src/tenants/quota-messages.js';
 import { QuotaOwner } from '../../src/tenants/quota-owner.js';
@@ -30,7 +30,7 @@
   decidedAt: number;
   isAdmitted: boolean;
   retryAfterMs: number;
-  path: QuotaPath | undefined;
+  path: QuotaDecisionPath | undefined;
   waited: boolean;
 }
 
@@ -112,7 +112,7 @@
   private readonly random;
   private readonly clock: Clock;
   private readonly gateways: ReplayGateway[] = [];
-  private lastPath: QuotaPath | undefined;
+  private lastPath: QuotaDecisionPath | undefined;
   private now = 0;
 
   /** What gateways are told of their number. */
@@ -141,8 +141,8 @@
     const owner = new QuotaOwner({
       clock: this.clock,
       settings: this.settings,
-      tenant: (name) => this.tenants.get(name),
-      onLimit: () => undefined,
+      findTenant: (name) => this.tenants.get(name),
+      onLimitReached: () => undefined,
     });
     return this.owners.push(owner) - 1;
   }
@@ -160,7 +160,7 @@
         random: seededRandom(this.seed, `gateway-${index}-${this.now}`),
         settings: this.settings,
         countGateways: () => this.countGateways(),
-        onWanted: () => this.wake(gateway),
+        onRequestQueued: () => this.wake(gateway),
         onDecision: (path) => (this.lastPath = path),
       }),
       owner: undefined,
@@ -175,7 +175,7 @@
     const gateway = this.gateways[index] as ReplayGateway;
     if (gateway.owner !== undefined) this.disconnect(index);
     gateway.owner = owner;
-    gateway.client.connected();
+    gateway.client.handleConnected();
     this.ask(gateway);
   }
 
@@ -248,7 +248,7 @@
       outcome.path = this.lastPath;
       if (!decision.isAdmitted || givenBackAfterMs === undefined) return;
       const takenAt = this.now;
-      this.at(takenAt + givenBackAfterMs, () => gateway.client.giveBack(limits, takenAt));
+      this.at(takenAt + givenBackAfterMs, () => gateway.client.returnToken(limits, takenAt));
     };
     const decision = gateway.client.take(limits);
     if (!(decision instanceof Promise)) {
@@ -268,7 +268,7 @@
   private expire(gateway: ReplayGateway): void {
     gateway.isExpiring = true;
     this.at(this.now + EXPIRY_INTERVAL_MS, () => {
-      gateway.client.expire(EXPIRY_INTERVAL_MS);
+      gateway.client.expireWaiting(EXPIRY_INTERVAL_MS);
       gateway.isExpiring = false;
       if (gateway.client.hasWaiting) this.expire(gateway);
     });
@@ -276,8 +276,8 @@
 
   private ask(gateway: ReplayGateway): void {
     const { owner, epoch, client } = gateway;
-    if (owner === undefined || gateway.isAsking || !client.hasAsks) return;
-    const asks = client.takeAsks();
+    if (owner === undefined || gateway.isAsking || !client.hasRequests) return;
+    const asks = client.takeRequests();
     if (asks.length === 0) return;
     gateway.isAsking = true;
     this.countFrame(asks);
@@ -292,16 +292,16 @@
     gateway: ReplayGateway,
     owner: number,
     epoch: number,
-    asks: readonly QuotaAskMessage[],
+    asks: readonly TokenRequestMessage[],
   ): void {
     const granting = this.owners[owner];
     if (this.stopped.has(owner) || granting === undefined) return;
-    const answers = asks.map((ask) => granting.answer(ask));
+    const answers = asks.map((ask) => granting.handleRequest(ask));
     this.countFrame(answers);
     this.at(this.now + this.delay(), () => {
       if (gateway.epoch !== epoch) return;
       gateway.isAsking = false;
-      for (const answer of answers) gateway.client.takeAnswer(answer);
+      for (const answer of answers) gateway.client.handleResponse(answer);
       gateway.client.endRound();
       this.ask(gateway);
     });
@@ -311,7 +311,7 @@
     gateway.epoch += 1;
     gateway.owner = undefined;
     gateway.isAsking = false;
-    gateway.client.lost();
+    gateway.client.handleDisconnected();
   }
 
   private countFrame(messages: readonly QuotaMessage[]): void {
@@ -370,12 +370,12 @@
   let refused = 0;
   for (const { isAdmitted, decidedAt } of mine) {
     if (isAdmitted) bucket.charge(1, decidedAt);
-    else if (bucket.timeUntil(1, decidedAt) === 0) refused += 1;
+    else if (bucket.msUntil(1, decidedAt) === 0) refused += 1;
   }
   return refused;
 }
 
 function strictBucket(tenant: Tenant): TokenBucket {
   const capacity = Math.max(1, tenant.burst);
-  return new TokenBucket({ ...boundsOf(tenant, SETTINGS), capacity }, 0, capacity);
+  return new TokenBucket({ ...computeQuotaBounds(tenant, SETTINGS), capacity }, 0, capacity);
 }
