--- a/src/tenants/allowance-table.ts
+++ b/src/tenants/allowance-table.ts
@@ -1,27 +1,27 @@
-/** What a gateway knows of the tenants that were used lately; bounded by those in use. */
+/** Quota state of recently used tenants at a gateway. Idle tenants are evicted, which bounds the memory. */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import { computeQuotaBounds } from './quota-bounds.js';
 import { TenantAllowance } from './tenant-allowance.js';
 import type { Tenant } from './tenant.js';
 
-/** How often idle tenants are looked for, in windows. */
+/** Interval between searches for idle tenants, in windows. */
 const EVICTION_INTERVAL_WINDOWS = 4;
-/** For how long after its last request a tenant is remembered, in windows. */
+/** Time for which a tenant is kept after its last request, in windows. */
 const RETENTION_WINDOWS = 2;
 
-/** See the module comment. */
+/** The allowances of a gateway by tenant name. */
 export class AllowanceTable {
   private readonly allowances = new Map<string, TenantAllowance>();
   private lastEvictionAt = -Infinity;
 
   constructor(private readonly settings: QuotaSettings) {}
 
-  /** What is known of a tenant that was used lately. */
+  /** The allowance of a recently used tenant; undefined when there is none. */
   find(name: string): TenantAllowance | undefined {
     return this.allowances.get(name);
   }
 
-  /** By the tenant's limit in the route document that the request goes by. */
+  /** The tenant's allowance, with the limit of the route document under which its request is handled. */
   getOrCreate(tenant: Tenant, now: number): TenantAllowance {
     this.evictIdle(now);
     const known = this.allowances.get(tenant.name);
--- a/src/tenants/authorization-lease.ts
+++ b/src/tenants/authorization-lease.ts
@@ -1,15 +1,15 @@
 /**
- * The right of a gateway to accept API keys by the route document that it holds. A gateway
- * that cannot learn of a newer document must not go on accepting keys that it takes away.
+ * A gateway accepts API keys only while it holds an authorization lease. A gateway that can't
+ * learn of a newer route document must not keep accepting keys which that document revokes.
  */
 
-/** See the module comment. */
+/** The right of a gateway to accept API keys under the route document that it holds. */
 export interface AuthorizationLease {
-  /** Whether keys may be accepted now. Read anew for each request: it ends by time alone. */
+  /** Whether keys may be accepted now. Read it for each request, because the lease expires with time. */
   readonly isHeld: boolean;
-  /** When a refused caller may find it held again. Milliseconds. */
+  /** Milliseconds after which a refused caller may find the lease held again. */
   readonly retryAfterMs: number;
 }
 
-/** Where revocations are bound by no time: keys are accepted by whatever document is held. */
+/** The lease used when no revocation bound is set: keys are accepted under whatever document is held. */
 export const UNBOUNDED_LEASE: AuthorizationLease = { isHeld: true, retryAfterMs: 0 };
--- a/src/tenants/decaying-rate.ts
+++ b/src/tenants/decaying-rate.ts
@@ -1,9 +1,9 @@
-/** Events a millisecond, of late: an average that forgets with time. */
+/** Exponentially decaying average of the rate of events. */
 
-/** In which a past event loses most of its weight. Milliseconds. */
+/** Time constant of the decay: the weight of an event falls to 1/e in this time. */
 const TIME_CONSTANT_MS = 1_000;
 
-/** See the module comment. Times are clock readings. Milliseconds. */
+/** Estimates the recent rate of events. Times are clock readings in milliseconds. */
 export class DecayingRate {
   private weight = 0;
   private recordedAt = -Infinity;
@@ -13,7 +13,7 @@
     this.recordedAt = now;
   }
 
-  /** Events a millisecond. */
+  /** Events per millisecond. */
   perMs(now: number): number {
     return this.decayedWeight(now) / TIME_CONSTANT_MS;
   }
--- a/src/tenants/fleet-size.ts
+++ b/src/tenants/fleet-size.ts
@@ -1,22 +1,22 @@
 /**
- * The number of gateways among which uses without a token are divided: rather too many than too
- * few. Load: a fleet that starts at once, controllers that start again and count anew, halves that
- * are cut apart and each see only themselves.
+ * Estimates the number of gateways among which unconfirmed uses are divided. The estimate errs on the
+ * high side while a whole fleet starts, while restarted controllers count gateways from zero, and
+ * during a network partition in which each side sees only its own gateways.
  */
 
-/** So long controllers take to have heard of all gateways of a fleet that starts. Milliseconds. */
+/** Time in which controllers discover all gateways of a fleet that starts. */
 const DISCOVERY_MS = 15_000;
-/** A smaller number counts only after it has held so long. Milliseconds. */
+/** A smaller number is accepted only when no number as large as the present one was reported for this long. */
 const SHRINK_DELAY_MS = 60_000;
 
-/** See the module comment. Times are clock readings. Milliseconds. */
+/** Grows at once and shrinks after a delay. Times are clock readings in milliseconds. */
 export class FleetSize {
   private size: number | undefined;
   private updatedAt = -Infinity;
 
   constructor(private readonly startedAt: number) {}
 
-  /** What controllers say while there is an owner: a half without one does not see the other. */
+  /** Call only while a quota owner is known: a side of a partition without an owner doesn't see the other gateways. */
   update(gateways: number | undefined, now: number): void {
     if (gateways === undefined) return;
     const isSmaller = this.size !== undefined && gateways < this.size;
@@ -25,7 +25,7 @@
     this.updatedAt = now;
   }
 
-  /** Infinity while it is not known. */
+  /** Number of gateways; Infinity while it isn't known. */
   estimate(now: number): number {
     const isDiscovered = now - this.startedAt >= DISCOVERY_MS;
     return isDiscovered && this.size !== undefined ? this.size : Infinity;
--- a/src/tenants/gateway-quota.ts
+++ b/src/tenants/gateway-quota.ts
@@ -1,4 +1,4 @@
-/** The limits of tenants at a gateway: its decisions, and its connection to the owner. */
+/** Enforces the limits of tenants at a gateway: combines the decisions with the connection to the quota owner. */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import type { Telemetry } from '../observability/telemetry.js';
 import type { LocalIdentity } from '../protocol/handshake.js';
@@ -9,19 +9,19 @@
 import { isLimited } from './tenant.js';
 import type { TenantDirectory } from './tenant-directory.js';
 
-/** What it is made of. */
+/** Dependencies and settings of a {@link GatewayQuota}. */
 export interface GatewayQuotaOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly settings: QuotaSettings;
   readonly telemetry: Telemetry;
-  /** Gateways of the fleet; undefined while no controller has said it. */
+  /** Number of gateways in the fleet; undefined until a controller has reported it. */
   readonly countGateways: () => number | undefined;
-  /** `host:port` of the controllers that are known. */
+  /** Addresses of the known controllers, as `host:port`. */
   readonly controllers: () => readonly string[];
 }
 
-/** See the module comment. No connection is opened before a route document limits a tenant. */
+/** Opens no connection until a route document sets a limit for a tenant. */
 export class GatewayQuota {
   readonly client: QuotaClient;
   private readonly metrics: QuotaClientMetrics;
@@ -44,7 +44,7 @@
     });
   }
 
-  /** The tenants of the route document in force. */
+  /** Applies the tenants of the route document in force; undefined when it has none. */
   setTenants(directory: TenantDirectory | undefined): void {
     if (this.link !== undefined || this.isStopped || directory === undefined) return;
     if (![...directory.tenants].some(isLimited)) return;
--- a/src/tenants/lease-keeper.ts
+++ b/src/tenants/lease-keeper.ts
@@ -1,80 +1,81 @@
 /**
- * Decides when a gateway has a controller confirm that its route document is the newest, and
- * what an answer is worth. Made for fleets of a thousand gateways: each asks a few times in
- * the bound, and renewals are spread, so that gateways do not ask together for long.
+ * Decides when a gateway asks a controller to confirm that its route document is the newest, and
+ * how long each confirmation extends the authorization lease. Designed for fleets of a thousand
+ * gateways: each sends a few requests per revocation bound, and jitter spreads them, so that
+ * gateways that happen to send together soon stop doing so.
  *
- * A controller answers with the version that a quorum held after the question came. Documents
- * that were acknowledged before the question are of that version at most, so a table of it or
- * of a later one knows what they took away. Those that are acknowledged afterwards take keys
- * away after the question, and a lease that counts from it ends before their bound does.
+ * A controller responds with the version that a quorum held after the request arrived. Documents
+ * acknowledged before the request have at most that version, so a route table of that version or
+ * a later one includes their revocations. Documents acknowledged later revoke keys after the
+ * request, and a lease that starts at the request expires before the bound of those revocations.
  */
 import type { Clock } from '../seams/clock.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { AuthorizationLease } from './authorization-lease.js';
 
-/** Clocks of two machines may differ in rate by this part of the time. */
+/** Maximum difference between the clock rates of two machines, as a fraction. */
 const MAXIMUM_CLOCK_RATE_DIFFERENCE = 0.01;
-/** Suspensions shorter than the boot clock can tell are not counted. Milliseconds. */
+/** Covers suspensions of the machine that are too short for the boot clock to detect. */
 const CLOCK_RESOLUTION_MARGIN_MS = 50;
-/** Parts of the bound: from an ask to the next, and until an answer counts as missing. */
+/** Fractions of the revocation bound: between two requests, and until a response counts as missing. */
 const RENEWAL_INTERVAL_FRACTION = 0.2;
 const RESPONSE_TIMEOUT_FRACTION = 0.1;
-/** Part of the time between two asks that chance takes away, so that gateways do not ask together. */
+/** Largest fraction by which an interval is randomly shortened, so that gateways don't send together. */
 const RENEWAL_JITTER_FRACTION = 0.25;
-/** Before the path to a controller is looked for again; jittered. Milliseconds. */
+/** Delay before the next request when no controller was connected; jittered. */
 const NO_CONTROLLER_RETRY_MS = 100;
-/** In which an answer to an ask is expected. Milliseconds. */
+/** Time in which a controller is expected to respond to a request. */
 const EXPECTED_RESPONSE_MS = 100;
 
-/** Defects that tests switch on to see their checks fail. */
+/** Defects that tests inject to verify that their checks detect them. */
 export interface LeaseFaults {
-  /** The lease counts from when the answer came. */
+  /** The lease starts when the response arrives instead of when the request was sent. */
   readonly countFromResponse?: boolean;
-  /** The lease is granted whatever version is in force here. */
+  /** The lease is granted without comparing the confirmed version with the one in force. */
   readonly ignoreVersion?: boolean;
 }
 
-/** What a keeper works with. */
+/** Dependencies and settings of a {@link LeaseKeeper}. */
 export interface LeaseKeeperOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly random: Pick<RandomSource, 'nextFloat'>;
-  /** From the acknowledgement of a revocation until no gateway accepts the key. Milliseconds. */
+  /** Maximum time in milliseconds from the acknowledgement of a revocation until no gateway accepts the key. */
   readonly boundMs: number;
   readonly faults?: LeaseFaults;
 }
 
-/** What became of an answer. */
+/** The effect of a controller's response on the lease. */
 export enum ConfirmationResult {
-  /** The lease holds for longer. */
+  /** The lease was extended. */
   Renewed = 'renewed',
-  /** The version that it names is not in force here yet; the lease is renewed when it is. */
+  /** The confirmed version isn't in force here yet; the lease is extended once it is. */
   DocumentMissing = 'document_missing',
-  /** It adds nothing: a later ask was answered, or too much time has passed. */
+  /** No effect: a later request was already answered, or the lease would have expired already. */
   Late = 'late',
 }
 
-/** A question to a controller. */
+/** A request to a controller to confirm the version of the route document. */
 export interface ConfirmationRequest {
   readonly number: number;
-  /** Asks before it in a row that no answer came to; the ask goes to another controller then. */
+  /** Consecutive earlier requests without a response; if there are any, this one goes to another controller. */
   readonly unanswered: number;
 }
 
-/** A version that was confirmed before it came into force here. */
+/** A version that was confirmed before it came into force at this gateway. */
 interface PendingConfirmation {
   readonly version: number;
   readonly leaseStartsAt: number;
 }
 
-/** How long a lease lasts from its ask. Milliseconds. */
+/** Duration of a lease from the sending of its request, in milliseconds. */
 export function leaseDurationMs(boundMs: number): number {
   return boundMs * (1 - MAXIMUM_CLOCK_RATE_DIFFERENCE) - CLOCK_RESOLUTION_MARGIN_MS;
 }
 
-/** See the module comment. */
+/** The lease of one gateway and the schedule of its confirmation requests. Sends nothing itself. */
 export class LeaseKeeper implements AuthorizationLease {
   private readonly durationMs: number;
-  /** Clock readings of the asks that are not answered, by their number. */
+  /** Clock readings at which unanswered requests were sent, by request number. */
   private readonly requestTimes = new Map<number, number>();
   private pendingConfirmations: readonly PendingConfirmation[] = [];
   private lastRequestNumber = 0;
@@ -82,7 +83,7 @@
   private leaseStartedAt = -Infinity;
   private nextRequestAt = -Infinity;
   private version = -Infinity;
-  /** Also before the first table, which may need keys. */
+  /** True before the first route table as well, because that one may need keys. */
   private needsKeys = true;
 
   constructor(private readonly options: LeaseKeeperOptions) {
@@ -100,18 +101,18 @@
       : this.requestDueInMs + EXPECTED_RESPONSE_MS;
   }
 
-  /** Until the lease ends, unless it is renewed; 0 when it has. Milliseconds. */
+  /** Milliseconds until the lease expires; 0 when it has. */
   get expiresInMs(): number {
     return Math.max(0, this.leaseStartedAt + this.durationMs - this.options.clock.now());
   }
 
-  /** Until the next ask; Infinity while keys are not needed. Milliseconds. */
+  /** Milliseconds until the next request is due; Infinity while no route needs keys. */
   get requestDueInMs(): number {
     if (!this.needsKeys) return Infinity;
     return Math.max(0, this.nextRequestAt - this.options.clock.now());
   }
 
-  /** A table has come into force. */
+  /** Records the route table that has come into force. */
   setRouteTable(version: number, needsKeys: boolean): void {
     if (needsKeys && !this.needsKeys) this.nextRequestAt = -Infinity;
     this.needsKeys = needsKeys;
@@ -124,15 +125,15 @@
   }
 
   /**
-   * One more controller can be asked. Only who has just started asks at once: after a cut all
-   * find their controllers together.
+   * Records that another controller can be reached. Only a gateway that has just started sends a
+   * request at once: after a network partition all gateways reconnect at the same time.
    */
   handleControllerConnected(): void {
     const hasNeverRequested = this.leaseStartedAt === -Infinity && this.requestTimes.size === 0;
     if (hasNeverRequested) this.nextRequestAt = -Infinity;
   }
 
-  /** Call before the ask is sent: the lease counts from now. */
+  /** Call before the request is sent, because the lease starts now. */
   beginRequest(): ConfirmationRequest {
     const { consecutiveUnanswered: unanswered } = this;
     const now = this.options.clock.now();
@@ -144,7 +145,7 @@
     return { number: this.lastRequestNumber, unanswered };
   }
 
-  /** No controller could be sent the ask. */
+  /** Records that no controller was connected to send the request to. */
   recordUnsent({ number }: ConfirmationRequest): void {
     const { clock, random } = this.options;
     this.requestTimes.delete(number);
@@ -152,7 +153,7 @@
     this.nextRequestAt = clock.now() + NO_CONTROLLER_RETRY_MS * (0.5 + random.nextFloat() / 2);
   }
 
-  /** A controller answered: `version` was in force when it had the question. */
+  /** Handles a controller's response: a quorum held `version` after the request arrived. */
   handleConfirmation(number: number, version: number): ConfirmationResult {
     const requestedAt = this.requestTimes.get(number);
     if (requestedAt === undefined) return ConfirmationResult.Late;
@@ -174,7 +175,7 @@
     return ConfirmationResult.Renewed;
   }
 
-  /** A later ask that is on its way is waited for first. */
+  /** Keeps the present schedule while a later request is in flight. */
   private scheduleNextRequest(number: number, requestedAt: number): void {
     if (number < this.lastRequestNumber) return;
     const interval = this.options.boundMs * RENEWAL_INTERVAL_FRACTION;
@@ -182,7 +183,7 @@
       requestedAt + interval * (1 - RENEWAL_JITTER_FRACTION * this.options.random.nextFloat());
   }
 
-  /** An answer to an earlier ask adds nothing to that of a later one. */
+  /** Once a request is answered, responses to earlier ones can't extend the lease. */
   private discardRequestsUpTo(last: number): void {
     for (const number of this.requestTimes.keys()) {
       if (number <= last) this.requestTimes.delete(number);
--- a/src/tenants/lease-metrics.ts
+++ b/src/tenants/lease-metrics.ts
@@ -1,10 +1,10 @@
-/** Counters of a gateway's authorization lease. */
+/** Metrics of a gateway's authorization lease. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 
-/** What became of an ask for a longer lease, besides a `ConfirmationResult`. */
+/** Result label of a renewal whose request couldn't be sent; the other results are those of `ConfirmationResult`. */
 export const UNSENT_RENEWAL = 'unsent';
 
-/** See the module comment. */
+/** Counts renewals by result and shows whether the lease is held. */
 export class LeaseMetrics {
   readonly renewals: Counter<'result'>;
 
@@ -12,13 +12,13 @@
     const registers = [registry];
     this.renewals = new Counter({
       name: 'driftway_gateway_lease_renewals_total',
-      help: 'Asks whether the route document is the newest, by what the answer gave; unsent: no controller was followed.',
+      help: 'Requests to confirm that the route document is the newest, by result; unsent: no controller was connected.',
       labelNames: ['result'],
       registers,
     });
     new Gauge({
       name: 'driftway_gateway_lease_held',
-      help: 'Whether API keys are accepted here: 1, or 0 since no controller has confirmed the routes lately.',
+      help: '1 while this gateway accepts API keys; 0 when no controller has confirmed the route document recently.',
       registers,
       collect() {
         this.set(isHeld() ? 1 : 0);
--- a/src/tenants/lease-renewal.ts
+++ b/src/tenants/lease-renewal.ts
@@ -1,4 +1,4 @@
-/** Asks controllers as the lease keeper decides, and tells it what they answer. */
+/** Sends the confirmation requests that the lease keeper schedules, and feeds it the responses. */
 import type { Registry } from 'prom-client';
 import { Notifier } from '../consensus/notifier.js';
 import type { Logger } from '../observability/logger.js';
@@ -8,22 +8,22 @@
 import type { ConfirmationRequest, LeaseKeeper } from './lease-keeper.js';
 import { LeaseMetrics, UNSENT_RENEWAL } from './lease-metrics.js';
 
-/** What a renewal works with. */
+/** Dependencies of a {@link LeaseRenewal}. */
 export interface LeaseRenewalOptions {
   readonly clock: Clock;
   readonly keeper: LeaseKeeper;
-  /** Sends an ask to a controller; false when none is followed. */
+  /** Sends a request to a controller; returns false when no controller is connected. */
   readonly send: (ask: ConfirmationRequest) => boolean;
   readonly logger: Logger;
   readonly registry: Registry;
   readonly stopped: AbortSignal;
 }
 
-/** See the module comment. */
+/** Renews the lease of one gateway, and logs and counts its changes. */
 export class LeaseRenewal implements AuthorizationLease {
   private readonly wake: Notifier;
   private readonly metrics: LeaseMetrics;
-  /** As the last line said it; undefined while keys are not needed. */
+  /** State of the lease in the last log line; undefined while no route needs keys. */
   private lastLoggedIsHeld: boolean | undefined;
 
   constructor(private readonly options: LeaseRenewalOptions) {
@@ -39,27 +39,27 @@
     return this.options.keeper.retryAfterMs;
   }
 
-  /** A table has come into force. */
+  /** Records the route table that has come into force. */
   setRouteTable({ version, needsKeys }: RouteTable): void {
     this.options.keeper.setRouteTable(version, needsKeys);
     this.lastLoggedIsHeld = needsKeys ? (this.lastLoggedIsHeld ?? this.isHeld) : undefined;
     this.wake.notify();
   }
 
-  /** One more controller can be asked. */
+  /** Records that another controller can be reached. */
   handleControllerConnected(): void {
     this.options.keeper.handleControllerConnected();
     this.wake.notify();
   }
 
-  /** A controller has answered the ask of the number. */
+  /** Handles a controller's response to the request with that number. */
   handleConfirmation(number: number, version: number): void {
     const result = this.options.keeper.handleConfirmation(number, version);
     this.metrics.renewals.inc({ result });
     this.wake.notify();
   }
 
-  /** Renews the lease until stopped. */
+  /** Renews the lease until `stopped` is aborted. */
   async run(): Promise<void> {
     const { keeper, stopped } = this.options;
     stopped.addEventListener('abort', () => this.wake.close());
--- a/src/tenants/limit-warnings.ts
+++ b/src/tenants/limit-warnings.ts
@@ -1,13 +1,13 @@
-/** Writes that tenants have reached their limits: each now and then, and few lines in all. */
+/** Logs that tenants have reached their limits, with a bound on the lines per tenant and in total. */
 import type { Logger } from '../observability/logger.js';
 import type { Clock } from '../seams/clock.js';
 
-/** Between two lines about a tenant. Milliseconds. */
+/** Minimum time between two warnings about one tenant. */
 const WARNING_INTERVAL_MS = 60_000;
-/** Tenants that are written about in that time; of others nothing is written. */
+/** Tenants with a warning per interval; further tenants are not logged. */
 const MAXIMUM_TENANTS_PER_INTERVAL = 20;
 
-/** See the module comment. */
+/** Throttles the warnings about tenants at their limits. */
 export class LimitWarnings {
   private readonly loggedAt = new Map<string, number>();
 
--- a/src/tenants/quota-bounds.ts
+++ b/src/tenants/quota-bounds.ts
@@ -1,52 +1,53 @@
 /**
- * How the tolerance of a tenant's limit is divided among what can exceed the limit. Load: a
- * tenant far above its limit at every gateway while owners change and gateways are cut off.
+ * Divides the tolerance of a tenant's limit among everything that can exceed the limit. The bounds
+ * must hold for a tenant far above its limit at every gateway while the quota owner changes and
+ * gateways are partitioned from the controllers.
  *
- * With L = rate x window + burst and E = L x overrun + slack, the requests of any window are at
- * most rate x window + capacity, and beyond that
- * - tokens that were granted before the window and are used or returned in it: a token's fate is
- *   settled within two lifetimes (used within one; found not to have run, and reported, within
- *   half a one each), so at most rate x 2 lifetimes;
- * - what a new owner begins with, for each change of owner in the window;
- * - uses that no owner has confirmed, of all gateways together: an owner charges them afterwards,
- *   but the next one knows of no debt, so they count once for each owner of the window.
- * Capacity is the burst and a part of E; the parts sum up to 1 with two changes of owner.
+ * With L = rate x window + burst and tolerance E = L x overrun + slack, the requests admitted in any
+ * window are at most rate x window + capacity, plus
+ * - tokens that were granted before the window and are used or returned in it: each token is settled
+ *   within two lifetimes (used within one lifetime; after that, half a lifetime to find that the
+ *   request didn't run and half a lifetime to report it), so at most rate x 2 lifetimes;
+ * - the initial tokens of a new owner, for each change of owner in the window;
+ * - unconfirmed uses of all gateways together: an owner charges them afterwards, but the next owner
+ *   doesn't know of that debt, so they count once for each owner of the window.
+ * Capacity is the burst and a fraction of E. With two changes of owner the fractions sum up to 1.
  */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import type { Tenant } from './tenant.js';
 
-/** Parts of the tolerance. */
+/** Fractions of the tolerance. */
 const CAPACITY_FRACTION = 0.1;
 const SETTLING_FRACTION = 0.16;
 const INITIAL_TOKENS_FRACTION = 0.05;
 const UNCONFIRMED_FRACTION = 0.64;
-/** With two changes of owner. */
+/** Owners of one window when the owner changes twice in it. */
 const OWNERS_PER_WINDOW = 3;
-/** Longer grants would gain nothing: demand is not known so far ahead. Milliseconds. */
+/** Longer lifetimes gain nothing, because demand can't be predicted that far ahead. */
 const MAXIMUM_TOKEN_LIFETIME_MS = 1_000;
-/** Without a tolerance grants still need the time of a message each way. Milliseconds. */
+/** Covers a message in each direction, which a grant needs even without any tolerance. */
 const MINIMUM_TOKEN_LIFETIME_MS = 50;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What follows from a tenant's limit. Numbers are requests if they have no unit. */
+/** Quantities derived from a tenant's limit. Numbers without a unit count requests. */
 export interface QuotaBounds {
-  /** Of a window, without the tolerance. */
+  /** Requests allowed in a window, without the tolerance. */
   readonly windowLimit: number;
-  /** Tokens a millisecond. */
+  /** Tokens per millisecond. */
   readonly ratePerMs: number;
-  /** Most tokens that its bucket holds; at least 1. */
+  /** Capacity of the tenant's token bucket; at least 1. */
   readonly capacity: number;
-  /** What the bucket of a new owner begins with. */
+  /** Tokens in the bucket when a new owner takes over. */
   readonly initialTokens: number;
-  /** From the question on, a granted token may be used. Milliseconds. */
+  /** Milliseconds for which a granted token may be used, counted from the sending of the token request. */
   readonly tokenLifetimeMs: number;
-  /** After its use or its end, a token may be given back, and as long be waiting for that. Milliseconds. */
+  /** Milliseconds after its use or expiry in which a token may be returned; it then waits at most as long to be sent. */
   readonly returnTimeoutMs: number;
-  /** Uses that no owner has confirmed, all gateways together, under one owner of a window. */
+  /** Maximum unconfirmed uses of all gateways together under one owner of a window. */
   readonly maximumUnconfirmed: number;
 }
 
-/** For a tenant that is limited. */
+/** Requires a tenant with a limit: its rate must be above 0. */
 export function computeQuotaBounds(
   { requestsPerSecond, burst }: Pick<Tenant, 'requestsPerSecond' | 'burst'>,
   { windowMs, overrun, slack }: QuotaSettings,
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -1,13 +1,14 @@
 /**
- * Decides at a gateway which requests of tenants are passed on. Load: few requests of a tenant at
- * each of many gateways, and many of one tenant at some or all of them.
+ * Decides at a gateway which requests of tenants are admitted. Designed for few requests of a tenant
+ * at each of many gateways as well as for many requests of one tenant at some or all of them.
  *
- * A request takes a token that was granted ahead, else it is passed on at once if so few uses
- * without a token are allowed to this gateway that those of all gateways stay within the bounds,
- * else the owner is asked. While the tenant's next token is not due it is refused at once.
+ * A request uses a prefetched token if there is one. Otherwise it is admitted at once without a token
+ * if this gateway's share of unconfirmed uses, which keeps all gateways together within the bounds,
+ * has room for it. Otherwise it waits for the owner's response. While the tenant's next token isn't
+ * due, requests are refused at once.
  *
- * Without an owner a bounded number is passed on (see unconfirmed-uses); other requests wait for
- * one for a short time, in which the controllers elect it, and are refused when none is found.
+ * Without an owner a bounded number of requests is admitted (see unconfirmed-uses). Others wait for
+ * a short time, in which the controllers elect an owner, and are refused when none is found.
  */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import type { Clock } from '../seams/clock.js';
@@ -22,35 +23,35 @@
 import { UnconfirmedUses } from './unconfirmed-uses.js';
 
 /**
- * Longest wait for an owner: the controllers elect another one in that time. An owner that is
- * away for longer is not waited for. Milliseconds.
+ * Maximum time for which a request waits for an owner; the controllers elect another one in that time.
+ * Once no owner has been connected for longer, requests don't wait.
  */
 export const MAXIMUM_WAIT_MS = 2_000;
-/** Where it is not known when a token is due: with an owner that may be found soon. Milliseconds. */
+/** Retry time without an owner, when it isn't known when a token is due; an owner may be found soon. */
 const OWNERLESS_RETRY_AFTER_MS = 1_000;
-/** Part of a grant's lifetime for which tokens are asked for ahead. */
+/** Fraction of a token's lifetime for whose expected requests tokens are prefetched. */
 const PREFETCH_FRACTION = 0.5;
-/** Most tenants of one frame, which keeps it far below the longest frame. */
+/** Keeps a frame far below the maximum frame size. */
 const MAXIMUM_TENANTS_PER_FRAME = 1_000;
 
-/** What a client goes by. */
+/** Dependencies and settings of a {@link QuotaClient}. */
 export interface QuotaClientOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly settings: QuotaSettings;
-  /** Gateways of the fleet, also those that are cut off; undefined while no controller has said it. */
+  /** Number of gateways in the fleet, including partitioned ones; undefined until a controller has reported it. */
   readonly countGateways: () => number | undefined;
-  /** There is something to ask. */
+  /** Called when a token request is queued. */
   readonly onRequestQueued: () => void;
   readonly onDecision: (path: QuotaDecisionPath) => void;
 }
 
-/** See the module comment. */
+/** The rate limiter of one gateway. Has no timers and no connection: its user calls it with both. */
 export class QuotaClient implements TenantQuota {
   private readonly allowances: AllowanceTable;
   private readonly unconfirmed: UnconfirmedUses;
   private readonly queued = new Set<TenantAllowance>();
-  /** With a question that is not answered yet. */
+  /** Allowances whose token request isn't answered yet. */
   private readonly pending = new Set<TenantAllowance>();
   private isConnected = false;
   private ownerlessSince: number;
@@ -86,33 +87,33 @@
     const allowance = this.allowances.find(tenant.name);
     if (allowance === undefined || !isLimited(tenant)) return;
     const now = this.options.clock.now();
-    // What is returned later could be used besides what the bucket has gained meanwhile.
+    // A token returned later could be used in addition to the tokens that the bucket has gained meanwhile.
     if (now - takenAt > allowance.bounds.returnTimeoutMs) return;
     allowance.recordReturned(1, now);
     this.enqueue(allowance);
   }
 
-  /** The connection to the owner is open: it answers questions. */
+  /** Call when the connection to the owner is open and the owner responds to token requests. */
   handleConnected(): void {
     this.isConnected = true;
     this.updateFleetSize();
   }
 
-  /** The owner is lost: what it was asked may have been granted, which is then not used. */
+  /** Call when the owner is lost. Tokens that it may have granted in response to pending requests stay unused. */
   handleDisconnected(): void {
     if (this.isConnected) this.ownerlessSince = this.options.clock.now();
     this.isConnected = false;
     this.endRound();
   }
 
-  /** All answers to what was asked have come: questions without one are asked again. */
+  /** Call when all responses of a round have arrived; token requests without one are queued again. */
   endRound(): void {
     if (this.isConnected) this.updateFleetSize();
     for (const allowance of this.pending) this.requeue(allowance);
     this.pending.clear();
   }
 
-  /** What to ask the owner now; each tenant has one open question at most. */
+  /** Takes the token requests to send now. Each tenant has at most one pending request. */
   takeRequests(): TokenRequestMessage[] {
     const requests: TokenRequestMessage[] = [];
     for (const allowance of this.queued) {
@@ -126,7 +127,7 @@
     return requests;
   }
 
-  /** The owner's answer to a question. One to no question is of no use, and is dropped. */
+  /** Handles the owner's response. Ignores a response without a pending request. */
   handleResponse(response: TokenResponseMessage): void {
     const allowance = this.allowances.find(response.tenant);
     if (allowance?.pendingRequest === undefined) return;
@@ -142,7 +143,7 @@
     if (this.needsRequest(allowance)) this.enqueue(allowance);
   }
 
-  /** Ends the wait of requests whose time is over before the next call; called while {@link hasWaiting}. */
+  /** Refuses waiting requests whose deadline passes before the next call, in `nextCallMs`. Call it while {@link hasWaiting}. */
   expireWaiting(nextCallMs: number): void {
     const nextCallAt = this.options.clock.now() + nextCallMs;
     for (const allowance of this.queued) {
@@ -155,12 +156,12 @@
     }
   }
 
-  /** Whether there is something to ask. */
+  /** Whether token requests are queued. */
   get hasRequests(): boolean {
     return this.queued.size > 0;
   }
 
-  /** Whether requests wait for an answer or an owner. */
+  /** Whether requests wait for a response or an owner. */
   get hasWaiting(): boolean {
     for (const { waiting } of this.queued) if (waiting.length > 0) return true;
     return this.pending.size > 0;
@@ -176,7 +177,7 @@
     return ADMITTED;
   }
 
-  /** Behind those that were told to come back before, each at a time of its own. */
+  /** Refuses a request with a retry time of its own, behind those assigned before. */
   private refuse(allowance: TenantAllowance, now: number): QuotaDecision {
     this.options.onDecision(QuotaDecisionPath.Refused);
     const horizonMs = this.options.settings.windowMs * MAXIMUM_RETRY_AFTER_WINDOWS;
@@ -197,7 +198,7 @@
     return this.admit(path);
   }
 
-  /** Refuses those whose time is over at `by`, and gives back the others. */
+  /** Refuses the requests whose deadline is at or before `by`, and returns the others. */
   private refuseExpired(
     allowance: TenantAllowance,
     waiting: readonly WaitingRequest[],
@@ -283,7 +284,7 @@
     for (const { decide } of refused) decide(this.refuse(allowance, now));
   }
 
-  /** The answer took longer than its tokens are valid: those that wait are asked for again. */
+  /** Handles a response that arrived after its tokens expired: the waiting requests are queued again. */
   private discardGrant(
     allowance: TenantAllowance,
     { requestedAt: askedAt, waiting }: PendingTokenRequest,
--- a/src/tenants/quota-decision-path.ts
+++ b/src/tenants/quota-decision-path.ts
@@ -1,15 +1,15 @@
-/** How a request of a tenant with a limit was decided at a gateway. */
+/** How a gateway decided on a request of a tenant with a limit. The values are metric labels. */
 export enum QuotaDecisionPath {
-  /** By a token that was held. */
+  /** Admitted with a token that the gateway held. */
   Granted = 'granted',
-  /** Without a token; the owner is told. */
+  /** Admitted without a token while an owner is connected; reported to the owner afterwards. */
   Unconfirmed = 'unconfirmed',
-  /** By a token that it waited for. */
+  /** Admitted with a token that the request waited for. */
   Asked = 'asked',
-  /** Without an owner, within the bound for that. */
+  /** Admitted while no owner is connected, within the bound on such uses. */
   WithoutOwner = 'without_owner',
-  /** The tenant has reached its limit. */
+  /** Refused because the tenant has reached its limit. */
   Refused = 'refused',
-  /** No owner could be asked. */
+  /** Refused because no owner could be asked. */
   RefusedWithoutOwner = 'refused_without_owner',
 }
--- a/src/tenants/quota-link.ts
+++ b/src/tenants/quota-link.ts
@@ -1,7 +1,7 @@
 /**
- * A gateway's connection to the owner of the tenants' tokens. It asks any controller, goes on to
- * the one that this names, and is kept open. One frame is unanswered at most; an owner that does
- * not answer in time is cut off or frozen, and is looked for anew.
+ * A gateway's persistent connection to the quota owner. It contacts any controller and follows the
+ * redirect to the owner. At most one frame is in flight. An owner that doesn't respond in time is
+ * treated as unreachable or frozen, and the search for an owner starts again.
  */
 import { Notifier } from '../consensus/notifier.js';
 import type { Logger } from '../observability/logger.js';
@@ -15,44 +15,44 @@
 import { QUOTA_CODEC, type QuotaMessage } from './quota-messages.js';
 import type { QuotaClientMetrics } from './quota-metrics.js';
 
-/** Longest time to open a connection; a machine without power answers nothing. Milliseconds. */
+/** Timeout for opening a connection, for machines that are powered off and don't refuse connections. */
 const DIAL_TIMEOUT_MS = 300;
-/** Longest wait for the answer to a frame, pauses of a busy owner included. Milliseconds. */
+/** Timeout for the response to a frame; allows for pauses of a busy owner. */
 const RESPONSE_TIMEOUT_MS = 600;
-/** Without questions the owner is asked this often whether it still answers. Milliseconds. */
+/** Interval of the heartbeat rounds to the owner while there are no token requests. */
 const IDLE_ROUND_MS = 1_000;
-/** Pause before another controller is asked; jittered, and doubled each time up to the most. Milliseconds. */
+/** Exponential backoff with jitter between connection attempts. */
 const INITIAL_RECONNECT_DELAY_MS = 50;
 const MAXIMUM_RECONNECT_DELAY_MS = 400;
-/** While a controller knows of no owner it is asked again this often, which costs less than dialling. Milliseconds. */
+/** Interval of the rounds to a controller that knows no owner; cheaper than reconnecting. */
 const OWNERLESS_ROUND_MS = 150;
-/** How often requests that wait are looked at. Milliseconds. */
+/** Interval between checks for waiting requests whose deadline has passed. */
 const EXPIRY_INTERVAL_MS = 100;
-/** A controller that did not answer is not asked for so long if another is known. Milliseconds. */
+/** Time for which a controller that didn't respond is avoided if another one is known. */
 const AVOIDANCE_MS = 1_500;
-/** Controllers that are gone on to without a pause: two that name each other would be asked forever. */
+/** Redirects followed without a delay; bounded because two controllers could redirect to each other forever. */
 const MAXIMUM_REDIRECTS = 2;
 
-/** What a link is made of. */
+/** Dependencies of a {@link QuotaLink}. */
 export interface QuotaLinkOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly logger: Logger;
   readonly metrics: QuotaClientMetrics;
   readonly client: QuotaClient;
-  /** `host:port` of the controllers that are known. */
+  /** Addresses of the known controllers, as `host:port`. */
   readonly controllers: () => readonly string[];
 }
 
-/** See the module comment. */
+/** Connects on construction and stays connected until {@link QuotaLink.stop} is called. */
 export class QuotaLink {
   isConnected = false;
   private readonly stopped = new AbortController();
   private readonly wake: Notifier;
   private connection: MessageConnection | undefined;
-  /** Named by the controller that was asked last. */
+  /** Address to connect to next, from a redirect or for a reconnect; empty when any controller may be chosen. */
   private nextController = '';
-  /** Did not answer when it was tried last: others go before it for a while. */
+  /** Address of the controller that last failed to respond; others are preferred until `avoidedUntil`. */
   private avoidedAddress = '';
   private avoidedUntil = -Infinity;
   private hasTimedOut = false;
@@ -68,7 +68,7 @@
     this.finished = this.run();
   }
 
-  /** There may be something to ask, or requests that wait. */
+  /** Signals that token requests may be queued or requests waiting. */
   notify(): void {
     this.wake.notify();
     if (!this.isExpiring && this.options.client.hasWaiting) void this.expireWaiting();
@@ -95,7 +95,7 @@
     }
   }
 
-  /** The one that was named, else any. */
+  /** Chooses the next controller: the one to which the last redirect or reconnect points, otherwise a random one. */
   private chooseAddress(): string | undefined {
     const { environment, controllers } = this.options;
     const { nextController } = this;
@@ -125,10 +125,10 @@
     this.isConnected = false;
     client.handleDisconnected();
     if (this.stopped.signal.aborted) return;
-    logger.warn('owner of limits lost', { owner: address, reason });
+    logger.warn('quota owner lost', { owner: address, reason });
   }
 
-  /** A connection that was only reset is opened again; who did not answer is avoided. */
+  /** Reconnects to an owner whose connection was only reset; avoids a controller that didn't respond. */
   private planReconnect(address: string): void {
     if (this.nextController !== '') return;
     if (this.isConnected && !this.hasTimedOut) this.nextController = address;
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Undefined when the controller is not the owner, or the connection has ended. */
+  /** Exchanges one round; undefined when the controller isn't the owner or the connection has closed. */
   private async exchange(
     connection: MessageConnection,
     address: string,
@@ -203,17 +203,29 @@
       return undefined;
     }
     if (first?.kind === 'answered' && first.round === this.round) return responses;
-    throw new MalformedMessageError('hear owner', address, 'not the answer to the round');
+    throw new MalformedMessageError(
+      'hear owner',
+      address,
+      `expected a response to round ${this.round}, received ${first?.kind ?? 'an empty frame'}`,
+    );
   }
 
   private handleResponse(response: QuotaMessage, address: string): void {
     if (response.kind !== 'answer') {
-      throw new MalformedMessageError('hear owner', address, `unexpected ${response.kind}`);
+      throw new MalformedMessageError(
+        'hear owner',
+        address,
+        `expected a message of kind answer, received ${response.kind}`,
+      );
     }
     const { granted, pressureMs, nextTokenMs, retryAfterMs, retrySpacingMs } = response;
     const values = [granted, pressureMs, nextTokenMs, retryAfterMs, retrySpacingMs];
     if (!values.every((value) => value >= 0 && Number.isFinite(value))) {
-      throw new MalformedMessageError('hear owner', address, 'a figure below zero or no number');
+      throw new MalformedMessageError(
+        'hear owner',
+        address,
+        'expected finite values of 0 or more in a token response',
+      );
     }
     this.options.client.handleResponse(response);
   }
@@ -223,7 +235,8 @@
     this.failedAttempts = 0;
     this.redirects = 0;
     this.options.client.handleConnected();
-    if (address !== this.lastOwner) this.options.logger.info('owner of limits', { owner: address });
+    if (address !== this.lastOwner)
+      this.options.logger.info('quota owner found', { owner: address });
     this.lastOwner = address;
   }
 
--- a/src/tenants/quota-messages.ts
+++ b/src/tenants/quota-messages.ts
@@ -1,62 +1,62 @@
 /**
- * Messages between a gateway and the controller that grants the tokens of tenants. A gateway
- * has one frame unanswered at most; what comes up meanwhile goes into the next one, so that an
- * owner under load gets larger frames, not more.
+ * Messages between a gateway and the quota owner, the controller that grants the tokens of tenants.
+ * A gateway has at most one frame in flight. Token requests that arise meanwhile go into the next
+ * frame, so that an owner under load receives larger frames instead of more frames.
  */
 import { MessageCodec } from '../protocol/message-codec.js';
 
-/** Gateway to controller, first in each frame; alone, it shows whether the owner still answers. */
+/** Gateway to controller, first in each frame. A frame without token requests is a heartbeat. */
 export interface QuotaRoundMessage {
   readonly kind: 'round';
   readonly round: number;
 }
 
-/** Gateway to owner: what it has used and needs of a tenant. Numbers are requests. */
+/** Gateway to owner: a token request with the uses of one tenant to report. Numbers count requests or tokens. */
 export interface TokenRequestMessage {
   readonly kind: 'ask';
   readonly tenant: string;
-  /** Passed on without a token. */
+  /** Requests admitted without a token. */
   readonly spent: number;
-  /** Tokens that were not used, or whose requests ran nowhere. */
+  /** Tokens that weren't used, or whose requests ran nowhere. */
   readonly returned: number;
-  /** Requests that wait for this answer. */
+  /** Requests that wait for the response. */
   readonly waiting: number;
-  /** Tokens for requests that are expected soon. */
+  /** Tokens to prefetch for requests that are expected soon. */
   readonly ahead: number;
-  /** Refused at the gateway since the last question: as the next token was not due, or without an owner. */
+  /** Requests refused by the gateway since the last token request: because no token was due, and without an owner. */
   readonly refused: number;
   readonly refusedWithoutOwner: number;
 }
 
-/** Owner to gateway, first in each frame: answers the round. */
+/** Owner to gateway, first in each frame: acknowledges the round. */
 export interface QuotaRoundResponseMessage {
   readonly kind: 'answered';
   readonly round: number;
 }
 
-/** Owner to gateway: answers one question. */
+/** Owner to gateway: the response to one token request. */
 export interface TokenResponseMessage {
   readonly kind: 'answer';
   readonly tenant: string;
-  /** Tokens. */
+  /** Number of tokens granted. */
   readonly granted: number;
-  /** For so long nothing may be passed on without a token. Milliseconds. */
+  /** Milliseconds in which the gateway may admit nothing without a token. */
   readonly pressureMs: number;
-  /** Until the tenant has a token again; 0 when nothing was refused. Milliseconds. */
+  /** Milliseconds until the tenant has a token again; 0 when nothing was refused. */
   readonly nextTokenMs: number;
-  /** When the first of the refused requests may come back, and between two of them. Milliseconds. */
+  /** Milliseconds until the first of the refused requests may be retried, and between two retries. */
   readonly retryAfterMs: number;
   readonly retrySpacingMs: number;
 }
 
-/** Controller to gateway: it does not grant tokens. */
+/** Controller to gateway: this controller isn't the owner. */
 export interface QuotaRedirectMessage {
   readonly kind: 'redirect';
-  /** `host:port` of the owner; empty when it is not known. */
+  /** Address of the owner as `host:port`; empty when it isn't known. */
   readonly owner: string;
 }
 
-/** All messages between a gateway and the owner. */
+/** Any message between a gateway and a controller on a quota connection. */
 export type QuotaMessage =
   | QuotaRoundMessage
   | TokenRequestMessage
@@ -64,7 +64,7 @@
   | TokenResponseMessage
   | QuotaRedirectMessage;
 
-/** Encodes and decodes them. */
+/** Encodes and decodes quota messages; the tags and field names are part of the wire format. */
 export const QUOTA_CODEC = new MessageCodec<QuotaMessage>({
   round: { tag: 80, fields: [{ name: 'round', type: 'long' }] },
   ask: {
--- a/src/tenants/quota-metrics.ts
+++ b/src/tenants/quota-metrics.ts
@@ -1,8 +1,8 @@
-/** Counters and gauges of tenants' limits; no label names a tenant, so their number is bounded. */
+/** Metrics of tenants' limits. No label names a tenant, which bounds the number of time series. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 import { QuotaDecisionPath } from './quota-decision-path.js';
 
-/** At a gateway. */
+/** Metrics of a gateway. */
 export class QuotaClientMetrics {
   readonly decisions: Counter<'result'>;
   readonly frames: Counter;
@@ -12,24 +12,24 @@
     const registers = [registry];
     this.decisions = new Counter({
       name: 'driftway_gateway_quota_decisions_total',
-      help: 'Requests of tenants with a limit, by how they were decided.',
+      help: 'Requests of tenants with a limit, by decision.',
       labelNames: ['result'],
       registers,
     });
     for (const result of Object.values(QuotaDecisionPath)) this.decisions.inc({ result }, 0);
     this.frames = new Counter({
       name: 'driftway_gateway_quota_frames_total',
-      help: 'Frames that were sent to the owner of the limits.',
+      help: 'Frames sent to the quota owner.',
       registers,
     });
     this.bytes = new Counter({
       name: 'driftway_gateway_quota_bytes_total',
-      help: 'Bytes that were sent to the owner of the limits.',
+      help: 'Bytes sent to the quota owner.',
       registers,
     });
     new Gauge({
       name: 'driftway_gateway_quota_connected',
-      help: 'Whether the owner of the limits answers: 1 if it does.',
+      help: '1 while the quota owner responds, otherwise 0.',
       registers,
       collect() {
         this.set(isConnected() ? 1 : 0);
@@ -38,13 +38,13 @@
   }
 }
 
-/** What the gauges of a controller show when they are read. */
+/** Functions that provide the values of a controller's gauges. */
 export interface QuotaReadings {
   readonly isOwner: () => boolean;
   readonly tenants: () => number;
 }
 
-/** At a controller. */
+/** Metrics of a controller. */
 export class QuotaServerMetrics {
   readonly frames: Counter;
   readonly bytes: Counter;
@@ -54,23 +54,23 @@
     const registers = [registry];
     this.frames = new Counter({
       name: 'driftway_controller_quota_frames_total',
-      help: 'Frames from gateways about limits of tenants.',
+      help: 'Quota frames received from gateways.',
       registers,
     });
     this.bytes = new Counter({
       name: 'driftway_controller_quota_bytes_total',
-      help: 'Bytes of those frames and of the answers to them.',
+      help: 'Bytes of the quota frames received from gateways and of the responses to them.',
       registers,
     });
     this.requests = new Counter({
       name: 'driftway_controller_quota_requests_total',
-      help: 'Requests that gateways asked tokens for, by the answer.',
+      help: 'Requests for which gateways requested or used tokens, by result.',
       labelNames: ['result'],
       registers,
     });
     new Gauge({
       name: 'driftway_controller_quota_owner',
-      help: 'Whether this controller grants the tokens of tenants: 1 if it does.',
+      help: '1 while this controller is the quota owner and grants the tokens of tenants, otherwise 0.',
       registers,
       collect() {
         this.set(readings.isOwner() ? 1 : 0);
@@ -78,7 +78,7 @@
     });
     new Gauge({
       name: 'driftway_controller_quota_tenants',
-      help: 'Tenants whose use is remembered here.',
+      help: 'Tenants whose token buckets and usage this controller keeps.',
       registers,
       collect() {
         this.set(readings.tenants());
--- a/src/tenants/quota-owner.ts
+++ b/src/tenants/quota-owner.ts
@@ -1,12 +1,12 @@
 /**
- * Grants the tokens of all tenants, at the controller that owns them. Load: a tenant at many
- * times its limit, asked for by every gateway at once. State is in memory only.
+ * Grants the tokens of all tenants at the controller that owns the quotas. Designed for a tenant at
+ * many times its limit whose tokens every gateway requests at once. State is kept in memory only.
  *
- * A new owner knows nothing of what the one before granted. It begins with a few tokens a tenant,
- * and fills at the tenant's rate: of a window with both owners, the old one granted at most its
- * capacity and the rate up to its end, the new one what it began with and the rate since its
- * beginning. As at most one of them owns at a time, both together stay within capacity, rate x
- * window and that beginning, which is a part of the tolerance (see quota-bounds).
+ * A new owner doesn't know what the previous one granted. Its buckets start with a few tokens per
+ * tenant and refill at the tenant's rate. In a window with both owners, the old one granted at most
+ * its capacity plus the rate until its end, and the new one its initial tokens plus the rate since
+ * its start. At most one of them is the owner at any time, so both together stay within capacity +
+ * rate x window + initial tokens; the latter are a fraction of the tolerance (see quota-bounds).
  */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import type { Clock } from '../seams/clock.js';
@@ -17,33 +17,33 @@
 import { isLimited, type Tenant } from './tenant.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Share of the capacity below which a tenant's requests need a token before they are passed on. */
+/** Fraction of the capacity below which a request of the tenant needs a token before it is admitted. */
 const PRESSURE_FRACTION = 0.5;
-/** A tenant that the route document here does not name is asked for again later. Milliseconds. */
+/** Retry time for a tenant that this controller's route document doesn't define. */
 const UNKNOWN_TENANT_RETRY_MS = 500;
-/** How often buckets that are full again are looked for, in windows. */
+/** Interval between searches for accounts to evict, in windows. */
 const EVICTION_INTERVAL_WINDOWS = 4;
-/** Where no request was refused. */
+/** The retry times of a response that refuses no request. */
 const NO_RETRY_AFTER: RetryAfterTimes = { nextTokenMs: 0, retryAfterMs: 0, retrySpacingMs: 0 };
 
-/** What an owner goes by. */
+/** Dependencies and settings of a {@link QuotaOwner}. */
 export interface QuotaOwnerOptions {
   readonly clock: Clock;
   readonly settings: QuotaSettings;
-  /** The tenant by the route document in force here. */
+  /** Finds a tenant in the route document in force at this controller. */
   readonly findTenant: (name: string) => Tenant | undefined;
-  /** A tenant has reached its limit. */
+  /** Called when a tenant has reached its limit. */
   readonly onLimitReached: (tenant: Tenant) => void;
 }
 
-/** A tenant that has asked, and what it may use and has used. */
+/** A tenant for which tokens were requested, with its token bucket and usage. */
 interface Account {
   tenant: Tenant;
   readonly bucket: TokenBucket;
   readonly usage: TenantUsage;
 }
 
-/** See the module comment. */
+/** The token buckets of all tenants with recent requests. */
 export class QuotaOwner {
   private readonly accounts = new Map<string, Account>();
   private ownedSince: number;
@@ -54,23 +54,23 @@
     this.lastEvictionAt = this.ownedSince;
   }
 
-  /** Tenants of which something is remembered. */
+  /** Number of tenants with an account. */
   get tenantCount(): number {
     return this.accounts.size;
   }
 
-  /** Owns the tokens from now on: what was known is of another ownership. */
+  /** Becomes the owner now. Clears all accounts, because they belong to an earlier ownership. */
   startOwnership(): void {
     this.accounts.clear();
     this.ownedSince = this.options.clock.now();
   }
 
-  /** What was admitted and refused of a tenant in the last window. */
+  /** Requests of a tenant that were admitted and refused in about the last window. */
   usageOf(name: string): UsageCounts {
     return this.accounts.get(name)?.usage.read(this.options.clock.now()) ?? NO_USAGE;
   }
 
-  /** Answers one question of a gateway, and notes the uses that it tells of. */
+  /** Handles one token request of a gateway, and charges the uses that it reports. */
   handleRequest(request: TokenRequestMessage): TokenResponseMessage {
     this.evictIdle();
     const tenant = this.options.findTenant(request.tenant);
@@ -154,14 +154,14 @@
     return { kind: 'answer', tenant, granted, pressureMs: 0, ...NO_RETRY_AFTER };
   }
 
-  /** Keeps memory bounded by the tenants that are in use. */
+  /** Evicts idle accounts, which bounds the memory by the tenants in use. */
   private evictIdle(): void {
     const now = this.options.clock.now();
     if (now - this.lastEvictionAt < this.options.settings.windowMs * EVICTION_INTERVAL_WINDOWS)
       return;
     this.lastEvictionAt = now;
     for (const [name, { bucket, usage }] of this.accounts) {
-      // Of a tenant that is not named any more, its last window: it may be named again.
+      // A tenant that was removed from the document keeps its account for a window: it may be added again.
       const isEvictable = bucket.isIdle(now) || this.options.findTenant(name) === undefined;
       if (isEvictable && usage.isEmpty(now)) this.accounts.delete(name);
     }
--- a/src/tenants/quota-server.ts
+++ b/src/tenants/quota-server.ts
@@ -1,6 +1,7 @@
 /**
- * The controller's end of the connections over which gateways get tokens of tenants. The leading
- * controller owns the tokens while it knows of a quorum: no other can have been elected then.
+ * The controller's side of the connections over which gateways request tokens of tenants. The leader
+ * is the quota owner only while it has recently heard from a quorum, because no other leader can
+ * have been elected then.
  */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import type { ReplicatedLog, ReplicatedLogStatus } from '../consensus/replicated-log.js';
@@ -22,35 +23,35 @@
 import { isLimited, type Tenant } from './tenant.js';
 
 /**
- * Part of the shortest election timeout for which a leader owns the tokens without hearing a
- * quorum: shorter than the silence after which members elect another one.
+ * Fraction of the minimum election timeout for which a leader remains the owner without hearing from
+ * a quorum; below 1, so that it stops before the members elect another leader.
  */
 const OWNERSHIP_FRACTION = 0.75;
-/** A gateway that sends nothing for so long is cut off; it sends a round a few seconds apart. Milliseconds. */
+/** A connection without frames for this long is closed; an idle gateway sends a round every second. */
 const MAXIMUM_SILENCE_MS = 15_000;
 
-/** What was used of a tenant's limit in the last window. */
+/** Usage of a tenant's limit over about the last window. */
 export interface TenantUsageReport extends UsageCounts {
   readonly tenant: Tenant;
 }
 
-/** What the server is made of. */
+/** Dependencies and settings of a {@link QuotaServer}. */
 export interface QuotaServerOptions {
   readonly clock: Clock;
   readonly settings: QuotaSettings;
-  /** The shortest. */
+  /** Minimum election timeout of the controllers, in milliseconds. */
   readonly electionTimeoutMs: number;
   readonly log: Pick<ReplicatedLog, 'status'>;
   readonly register: RouteDocumentRegister;
   readonly telemetry: Telemetry;
 }
 
-/** See the module comment. */
+/** Serves gateways at one controller; responds with a redirect while this controller isn't the owner. */
 export class QuotaServer {
   private readonly owner: QuotaOwner;
   private readonly metrics: QuotaServerMetrics;
   private tenants: ReadonlyMap<string, Tenant> = new Map();
-  /** Term of the leadership whose tokens are granted here; undefined while none are. */
+  /** Term in which this controller last became the owner; undefined before the first time. */
   private ownedTerm: number | undefined;
 
   constructor(private readonly options: QuotaServerOptions) {
@@ -70,25 +71,25 @@
     observe(register.changes, () => this.updateTenants());
   }
 
-  /** Who grants tokens, as this controller knows it; undefined while nobody is known to. */
+  /** Member id of the owner as far as this controller knows; undefined when it knows none. */
   get ownerId(): string | undefined {
     const status = this.options.log.status();
     return this.isOwner(status) ? status.memberId : status.leaderId;
   }
 
-  /** Of the last window, tenants with a limit in order; undefined at another controller than the owner. */
+  /** Usage of the tenants with a limit, in the order of the document; undefined unless this controller is the owner. */
   usage(): readonly TenantUsageReport[] | undefined {
     if (!this.isOwner(this.options.log.status())) return undefined;
     const limited = [...this.tenants.values()].filter(isLimited);
     return limited.map((tenant) => ({ tenant, ...this.owner.usageOf(tenant.name) }));
   }
 
-  /** By which limits are kept here. */
+  /** The settings under which limits are enforced. */
   get settings(): QuotaSettings {
     return this.options.settings;
   }
 
-  /** Serves one gateway until its connection ends. */
+  /** Serves one gateway until its connection closes. */
   async serve(connection: MessageConnection, peer: RemoteIdentity): Promise<void> {
     const guard = new SilenceGuard(this.options.clock, connection, MAXIMUM_SILENCE_MS);
     void guard.run();
@@ -105,7 +106,7 @@
     } catch (error) {
       if (!isProtocolViolation(error)) return;
       const reason = String(error);
-      this.options.telemetry.logger.warn('quota connection refused', {
+      this.options.telemetry.logger.warn('quota connection closed: protocol violation', {
         gateway: peer.name,
         reason,
       });
@@ -115,7 +116,11 @@
   private handleFrame(frame: Uint8Array, gateway: string): QuotaMessage[] {
     const [round, ...messages] = QUOTA_CODEC.decodeBatch(frame, gateway);
     if (round?.kind !== 'round') {
-      throw new MalformedMessageError('serve gateway', gateway, 'a frame without a round');
+      throw new MalformedMessageError(
+        'serve gateway',
+        gateway,
+        'expected a frame that starts with a round message',
+      );
     }
     const requests = messages.map((ask) => this.validateRequest(ask, gateway));
     const status = this.options.log.status();
@@ -129,12 +134,20 @@
 
   private validateRequest(message: QuotaMessage, gateway: string): TokenRequestMessage {
     if (message.kind !== 'ask') {
-      throw new MalformedMessageError('serve gateway', gateway, `unexpected ${message.kind}`);
+      throw new MalformedMessageError(
+        'serve gateway',
+        gateway,
+        `expected a message of kind ask, received ${message.kind}`,
+      );
     }
     const { spent, returned, waiting, ahead, refused, refusedWithoutOwner } = message;
     const counts = [spent, returned, waiting, ahead, refused, refusedWithoutOwner];
     if (counts.some((count) => count < 0)) {
-      throw new MalformedMessageError('serve gateway', gateway, 'a count below zero');
+      throw new MalformedMessageError(
+        'serve gateway',
+        gateway,
+        'expected counts of 0 or more in a token request',
+      );
     }
     return message;
   }
@@ -152,12 +165,12 @@
     return role === 'leader' && sinceQuorumMs < this.options.electionTimeoutMs * OWNERSHIP_FRACTION;
   }
 
-  /** In the same term nobody else can have granted tokens, whatever passed in between. */
+  /** Within one term no other controller can have granted tokens, so the accounts stay valid until the term changes. */
   private startOwnershipIfNew(term: number): void {
     if (this.ownedTerm === term) return;
     this.ownedTerm = term;
     this.owner.startOwnership();
-    this.options.telemetry.logger.info('grants tokens of tenants', { term });
+    this.options.telemetry.logger.info('quota ownership acquired', { term });
   }
 
   private leaderAddress({ leaderId, memberId, members }: ReplicatedLogStatus): string {
@@ -173,7 +186,10 @@
       this.tenants = new Map(tenants.map(({ keys: _keys, ...tenant }) => [tenant.name, tenant]));
     } catch (error) {
       const fields = { version: document.version, reason: String(error) };
-      this.options.telemetry.logger.error('limits of tenants not understood', fields);
+      this.options.telemetry.logger.error(
+        'limits of tenants unreadable in the route document',
+        fields,
+      );
     }
   }
 }
--- a/src/tenants/retry-after-schedule.ts
+++ b/src/tenants/retry-after-schedule.ts
@@ -1,38 +1,38 @@
-/** When refused requests of one tenant are told to come back, at one gateway. Load: a tenant far above its limit. */
+/** Assigns the Retry-After times of one tenant's refused requests at one gateway. Matters for a tenant far above its limit. */
 
-/** Refused requests are not told to come back later than this many windows. */
+/** Maximum retry time of a refused request, in windows. */
 export const MAXIMUM_RETRY_AFTER_WINDOWS = 2;
-/** A time that is over would have the caller back at once. Milliseconds. */
+/** A retry time in the past would make the caller retry immediately. */
 const MINIMUM_RETRY_AFTER_MS = 1;
 
-/** What the owner last told. Milliseconds. */
+/** Retry times from the owner's last response, in milliseconds. */
 export interface RetryAfterTimes {
-  /** Until the tenant has a token again. */
+  /** Time until the tenant has a token again. */
   readonly nextTokenMs: number;
-  /** When the first of the refused requests may come back, and between two of them. */
+  /** Time until the first of the refused requests may be retried, and the spacing between retries. */
   readonly retryAfterMs: number;
   readonly retrySpacingMs: number;
 }
 
-/** See the module comment. Each has a time of its own, so that they do not all return at once. */
+/** Gives each refused request a retry time of its own, so that callers don't all retry at once. */
 export class RetryAfterSchedule {
   private nextTokenAt = -Infinity;
   private nextRetryAt = -Infinity;
   private spacingMs = 0;
 
-  /** Goes by what the owner told at `now`. */
+  /** Applies the times of an owner's response that arrived at `now`. */
   update({ nextTokenMs, retryAfterMs, retrySpacingMs }: RetryAfterTimes, now: number): void {
     this.nextTokenAt = now + nextTokenMs;
     this.nextRetryAt = now + retryAfterMs;
     this.spacingMs = retrySpacingMs;
   }
 
-  /** Whether the tenant has no token yet for certain. */
+  /** Whether the owner's next token for the tenant is certainly not due yet. */
   isTokenUnavailable(now: number): boolean {
     return now < this.nextTokenAt;
   }
 
-  /** Behind those told before, and not later than `horizonMs` unless the next token is. Milliseconds from now. */
+  /** Milliseconds until the next free retry time, behind those assigned before. At most `horizonMs`, unless the next token is due later. */
   reserve(horizonMs: number, now: number): number {
     const latest = Math.max(this.nextTokenAt, now + horizonMs);
     const retryAt = Math.min(Math.max(this.nextRetryAt, this.nextTokenAt), latest);
--- a/src/tenants/tenant-allowance.ts
+++ b/src/tenants/tenant-allowance.ts
@@ -1,50 +1,50 @@
-/** What one gateway holds and knows of one tenant's tokens. */
+/** State of one tenant's quota at one gateway. */
 import { RetryAfterSchedule } from './retry-after-schedule.js';
 import { DecayingRate } from './decaying-rate.js';
 import type { QuotaBounds } from './quota-bounds.js';
 import type { QuotaDecision } from './tenant-quota.js';
 import type { Tenant } from './tenant.js';
 
-/** A request that waits for the owner's answer. */
+/** A request that waits for the owner's response. */
 export interface WaitingRequest {
   readonly decide: (decision: QuotaDecision) => void;
-  /** Clock reading after which it waits no longer. */
+  /** Clock reading in milliseconds after which the request is refused. */
   readonly deadline: number;
 }
 
-/** What the owner was asked and has not answered yet. */
+/** A token request that the owner hasn't answered yet. */
 export interface PendingTokenRequest {
   readonly requestedAt: number;
   readonly spent: number;
-  /** Those whose time is not over. */
+  /** Requests whose deadline hasn't passed. */
   waiting: readonly WaitingRequest[];
 }
 
-/** See the module comment. Times are clock readings. Milliseconds. */
+/** Tokens held, uses not yet reported and requests waiting. Times are clock readings in milliseconds. */
 export class TenantAllowance {
   readonly demand = new DecayingRate();
-  /** Granted and not used. */
+  /** Granted tokens that aren't used yet. */
   tokens = 0;
   private tokensExpireAt = -Infinity;
-  /** Until then nothing may be passed on without a token. */
+  /** Until this time no request may be admitted without a token. */
   pressureUntil = -Infinity;
   readonly retrySchedule = new RetryAfterSchedule();
-  /** Passed on without a token and not yet told to the owner. */
+  /** Requests admitted without a token and not yet reported to the owner. */
   spent = 0;
-  /** Unused tokens that the owner is still to be told of, and since when. */
+  /** Unused tokens not yet reported to the owner, and the time at which the first of them was recorded. */
   private returned = 0;
   private returnedSince = -Infinity;
-  /** Passed on without a token and not yet confirmed by an owner. */
+  /** Requests admitted without a token and not yet confirmed by an owner. */
   unconfirmed = 0;
-  /** Refused here, by what was known, and not yet told to the owner. */
+  /** Requests refused by local state, with and without an owner, and not yet reported to the owner. */
   refused = 0;
   refusedWithoutOwner = 0;
   waiting: WaitingRequest[] = [];
   pendingRequest: PendingTokenRequest | undefined;
-  /** Of the present window without an owner. */
+  /** Start of the present window without an owner, and the requests that may still be admitted in it. */
   ownerlessWindowStart = -Infinity;
   ownerlessRemaining = 0;
-  /** When a request of the tenant last came. */
+  /** Arrival of the tenant's last request. */
   lastUsedAt = -Infinity;
 
   constructor(
@@ -52,14 +52,14 @@
     public bounds: QuotaBounds,
   ) {}
 
-  /** Keeps granted tokens; of those of two grants the older end counts for all. */
+  /** Adds granted tokens. When tokens of an earlier grant are left, the earlier expiry applies to all. */
   addTokens(tokens: number, expiresAt: number): void {
     if (tokens <= 0) return;
     this.tokensExpireAt = this.tokens > 0 ? Math.min(this.tokensExpireAt, expiresAt) : expiresAt;
     this.tokens += tokens;
   }
 
-  /** Uses a token that is still valid; false when there is none. */
+  /** Uses a token that is still valid; returns false when there is none. */
   useToken(now: number): boolean {
     this.discardExpiredTokens(now);
     if (this.tokens === 0) return false;
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** A stale token may not be used, but is returned while its lifetime bounds what it can add. */
+  /** Expired tokens may not be used. They are returned to the owner until the return timeout, within which their effect on a window is bounded. */
   discardExpiredTokens(now: number): void {
     if (this.tokens === 0 || now <= this.tokensExpireAt) return;
     if (now <= this.tokensExpireAt + this.bounds.returnTimeoutMs)
@@ -75,7 +75,7 @@
     this.tokens = 0;
   }
 
-  /** Keeps unused tokens for the next question to the owner. */
+  /** Records unused tokens for the next token request. */
   recordReturned(tokens: number, now: number): void {
     if (this.returned === 0) this.returnedSince = now;
     this.returned += tokens;
@@ -85,14 +85,14 @@
     return this.returned > 0;
   }
 
-  /** What the owner is to be told of; what has waited for too long is lost. */
+  /** Takes the tokens to return to the owner; those that have waited longer than the return timeout are lost. */
   takeReturned(now: number): number {
     const { returned } = this;
     this.returned = 0;
     return now - this.returnedSince > this.bounds.returnTimeoutMs ? 0 : returned;
   }
 
-  /** Whether nothing needs to be remembered of the tenant. */
+  /** Whether the state of the tenant can be evicted. */
   isIdle(now: number, windowMs: number): boolean {
     const isQuiet = now - this.lastUsedAt > windowMs;
     return (
--- a/src/tenants/tenant-directory.ts
+++ b/src/tenants/tenant-directory.ts
@@ -1,11 +1,11 @@
 /**
- * The tenants of one version of the route document, found by API key. Keys are kept and
- * compared by their digests, so that no heap dump, log line or metric shows one.
+ * Looks up the tenants of one version of the route document by API key or by name. Only key
+ * digests are stored and compared, so that no heap dump, log line or metric shows a key.
  */
 import { digestOf } from './key-digest.js';
 import type { Tenant } from './tenant.js';
 
-/** Longest API key. Characters. */
+/** Maximum length of an API key, in characters. */
 export const MAXIMUM_KEY_CHARACTERS = 255;
 
 /** A tenant with its keys, as the route document lists it. */
@@ -13,12 +13,12 @@
   readonly keys: readonly string[];
 }
 
-/** Tells lists of tenants apart without keeping them. */
+/** Identifies a list of tenants, so that two lists can be compared without storing them. */
 function digestOfEntries(entries: readonly TenantEntry[]): string {
   return digestOf(JSON.stringify(entries));
 }
 
-/** See the module comment. Immutable. */
+/** An immutable index of the tenants by key digest and by name. */
 export class TenantDirectory {
   private readonly byDigest = new Map<string, Tenant>();
   private readonly byName = new Map<string, Tenant>();
@@ -33,7 +33,7 @@
     }
   }
 
-  /** `before` itself where the tenants are the same: most documents change routes alone. */
+  /** Returns `previous` itself when the tenants are unchanged, because most documents change only routes. */
   static createOrReuse(
     entries: readonly TenantEntry[],
     previous?: TenantDirectory,
@@ -43,14 +43,14 @@
     return new TenantDirectory(entries, entriesDigest);
   }
 
-  /** All of them, in the order of the document. */
+  /** All tenants, in the order of the route document. */
   get tenants(): Iterable<Tenant> {
     return this.byName.values();
   }
 
-  /** The tenant that holds the key. Takes the same time however many keys there are. */
+  /** The tenant that holds the key. The lookup time doesn't depend on the number of keys. */
   findByKey(key: string): Tenant | undefined {
-    // Nobody holds it: spares the digest of what a caller sends to cost time.
+    // No tenant has a key this long; skip hashing input of arbitrary length.
     if (key.length > MAXIMUM_KEY_CHARACTERS) return undefined;
     return this.byDigest.get(digestOf(key));
   }
--- a/src/tenants/tenant-quota.ts
+++ b/src/tenants/tenant-quota.ts
@@ -1,33 +1,35 @@
-/** Keeps the requests of each tenant, at all gateways together, to its limit. */
+/** Limits the requests of each tenant over all gateways together. */
 import type { Tenant } from './tenant.js';
 
-/** Whether a request may be sent on. */
+/** Whether a request is admitted. */
 export type QuotaDecision =
   | { readonly isAdmitted: true }
   | {
       readonly isAdmitted: false;
-      /** From now until a request of the tenant is expected to be admitted. Milliseconds. */
+      /** Milliseconds until a request of the tenant is expected to be admitted. */
       readonly retryAfterMs: number;
     };
 
-/** The decision for a request that may be sent on. */
+/** The decision that admits a request. */
 export const ADMITTED: QuotaDecision = { isAdmitted: true };
 
-/** See the module comment. */
+/** The rate limiter that a gateway consults for each request of a tenant. */
 export interface TenantQuota {
   /**
-   * Takes one request of the tenant. At once where what is known suffices; else after one question.
-   * `until`: clock reading after which a decision is of no use; it is a refusal then. Milliseconds.
+   * Decides on one request of the tenant: at once where local state suffices, otherwise after asking the
+   * quota owner. `until` is the clock reading, in milliseconds, by which a decision is needed; a
+   * request that can't be decided by then is refused.
    */
   take(tenant: Tenant, until?: number): QuotaDecision | Promise<QuotaDecision>;
   /**
-   * A request that was taken ran nowhere: it does not count. One that was taken long ago may have
-   * to count all the same. `takenAt`: clock reading. Milliseconds.
+   * Returns the token of an admitted request that ran nowhere, so that it doesn't count. A request
+   * that was admitted long ago may count nevertheless. `takenAt` is the clock reading of its
+   * admission, in milliseconds.
    */
   returnToken(tenant: Tenant, takenAt: number): void;
 }
 
-/** Where no limits are kept. */
+/** Admits every request; used where no limits are enforced. */
 export const UNLIMITED_QUOTA: TenantQuota = {
   take: () => ADMITTED,
   returnToken: () => undefined,
--- a/src/tenants/tenant-usage.ts
+++ b/src/tenants/tenant-usage.ts
@@ -1,15 +1,15 @@
-/** How many requests of a tenant were admitted and refused over about the last window. */
+/** Counts the admitted and refused requests of a tenant over approximately the last window. */
 
-/** Requests. */
+/** Numbers of requests. */
 export interface UsageCounts {
   readonly admitted: number;
-  /** The limit was reached. */
+  /** Refused because the limit was reached. */
   readonly refused: number;
-  /** Nobody could be asked. */
+  /** Refused because no owner could be asked. */
   readonly refusedWithoutOwner: number;
 }
 
-/** The counts of a tenant that has sent nothing. */
+/** The counts of a tenant that has sent no requests. */
 export const NO_USAGE: UsageCounts = { admitted: 0, refused: 0, refusedWithoutOwner: 0 };
 
 function addCounts(left: UsageCounts, right: UsageCounts): UsageCounts {
@@ -20,7 +20,7 @@
   };
 }
 
-/** See the module comment. Two halves are kept, of which the older one is dropped as a whole. */
+/** Keeps two half windows and drops the older one as a whole. Times are clock readings in milliseconds. */
 export class TenantUsage {
   private current = NO_USAGE;
   private previous = NO_USAGE;
--- a/src/tenants/tenant.ts
+++ b/src/tenants/tenant.ts
@@ -1,17 +1,17 @@
-/** A tenant: callers that share API keys, a rank and a rate limit. */
+/** A tenant is a group of callers that share API keys, a priority and a rate limit. */
 
-/** As the route document names it. */
+/** A tenant as the route document defines it, without its API keys. */
 export interface Tenant {
   readonly name: string;
-  /** Rank of its requests; 0 is the highest. Goes before the route's; absent: the route's holds. */
+  /** Priority of the tenant's requests; 0 is the highest. Overrides the route's priority when present. */
   readonly priority?: number | undefined;
-  /** Requests a second that all gateways together may pass on; 0: no limit. */
+  /** Requests per second that all gateways together may admit; 0 means no limit. */
   readonly requestsPerSecond: number;
-  /** Requests beyond that which may come at once. */
+  /** Requests beyond the rate that may arrive at once. */
   readonly burst: number;
 }
 
-/** Whether the requests of the tenant are limited at all. */
+/** Whether the tenant has a rate limit. */
 export function isLimited({ requestsPerSecond }: Tenant): boolean {
   return requestsPerSecond > 0;
 }
--- a/src/tenants/token-bucket.ts
+++ b/src/tenants/token-bucket.ts
@@ -1,10 +1,10 @@
-/** The tokens of one tenant at the owner, and when refused requests are to come back. */
+/** The token bucket of one tenant at the quota owner, and the retry times reserved for refused requests. */
 import type { QuotaBounds } from './quota-bounds.js';
 
-/** See the module comment. Times are readings of one clock. Milliseconds. */
+/** Refills at the tenant's rate up to its capacity. All times are readings of one clock, in milliseconds. */
 export class TokenBucket {
   private tokens: number;
-  /** Requests that were told to come back are expected up to this time. */
+  /** Tokens up to this time are reserved for the retries of refused requests. */
   private retriesReservedUntil = -Infinity;
 
   constructor(
@@ -15,7 +15,7 @@
     this.tokens = Math.min(currentBounds.capacity, initialTokens);
   }
 
-  /** By another limit from now on; tokens beyond the new capacity are gone. */
+  /** Applies another limit from now on; tokens beyond the new capacity are lost. */
   updateBounds(bounds: QuotaBounds, now: number): void {
     this.refill(now);
     this.currentBounds = bounds;
@@ -26,13 +26,13 @@
     return this.currentBounds;
   }
 
-  /** Whether dropping it loses nothing: a new one would be as full. */
+  /** Whether the bucket can be evicted without loss, because a new one would be as full. */
   isIdle(now: number): boolean {
     this.refill(now);
     return this.tokens >= this.currentBounds.capacity && this.retriesReservedUntil <= now;
   }
 
-  /** Takes off what was used without a token; may go below zero. */
+  /** Deducts requests that were admitted without a token; the level may become negative. */
   charge(tokens: number, now: number): void {
     this.refill(now);
     this.tokens -= tokens;
@@ -43,7 +43,7 @@
     this.tokens = Math.min(this.currentBounds.capacity, this.tokens + tokens);
   }
 
-  /** Takes at most `wanted` whole tokens, and leaves `reserve` where they are not needed. */
+  /** Takes at most `wanted` whole tokens, never leaving fewer than `reserve`; returns how many. */
   take(wanted: number, reserve: number, now: number): number {
     this.refill(now);
     const taken = Math.max(0, Math.min(wanted, Math.floor(this.tokens - reserve)));
@@ -51,15 +51,16 @@
     return taken;
   }
 
-  /** Until the bucket holds `tokens`. Milliseconds. */
+  /** Milliseconds until the bucket holds `tokens`. */
   msUntil(tokens: number, now: number): number {
     this.refill(now);
     return Math.max(0, tokens - this.tokens) / this.currentBounds.ratePerMs;
   }
 
   /**
-   * When the first of the refused requests is to come back: each has a token of its own, behind
-   * those refused before, at most `horizonMs` from now. Milliseconds from now.
+   * Reserves one future token for each of `refused` requests, behind those reserved before, and
+   * returns the milliseconds until the first of them. Retry times lie at most `horizonMs` from now,
+   * unless the next token is due later than that.
    */
   reserveRetries(refused: number, horizonMs: number, now: number): number {
     const first = Math.max(now + this.msUntil(1, now), this.retriesReservedUntil);
--- a/src/tenants/unconfirmed-uses.ts
+++ b/src/tenants/unconfirmed-uses.ts
@@ -1,26 +1,27 @@
 /**
- * Uses that a gateway may pass on before an owner has confirmed them. Load: gateways that are cut
- * off, alone or together, while a tenant sends many times its limit to all of them.
+ * Decides which requests a gateway may admit before an owner has confirmed them. The bounds must hold
+ * when gateways are partitioned, alone or together, while a tenant sends many times its limit to
+ * all of them.
  *
- * Each gateway has an equal share of what the bounds allow all of them. With an owner, only a
- * whole use is passed on. Without one, each window of the gateway has a share: a part of a use is
- * drawn by chance, so that the expected sum of all gateways is within the bounds and a tenant with
- * a request at one gateway is not refused for certain. A sliding window touches two such windows,
- * so each has half of the share.
+ * Each gateway has an equal share of the uses that the bounds allow all gateways. With an owner, a
+ * request is admitted only if the share has room for a whole use. Without an owner, each window
+ * of the gateway has a share, whose fractional part is rounded up or down at random: the expected sum
+ * over all gateways stays within the bounds, and a tenant with a request at one gateway isn't certain
+ * to be refused. A sliding window overlaps two such windows, so each has half of the share.
  */
 import type { RandomSource } from '../seams/random-source.js';
 import { FleetSize } from './fleet-size.js';
 import type { TenantAllowance } from './tenant-allowance.js';
 
-/** What it goes by. */
+/** Dependencies and settings of {@link UnconfirmedUses}. */
 export interface UnconfirmedUsesOptions {
   readonly random: RandomSource;
   readonly windowMs: number;
-  /** Of the gateway's process. Clock reading. Milliseconds. */
+  /** Clock reading in milliseconds at which the gateway's process started. */
   readonly startedAt: number;
 }
 
-/** See the module comment. */
+/** The share of one gateway. Times are clock readings in milliseconds. */
 export class UnconfirmedUses {
   readonly fleetSize: FleetSize;
 
@@ -28,13 +29,13 @@
     this.fleetSize = new FleetSize(options.startedAt);
   }
 
-  /** Takes one while there is an owner, who is told of it. */
+  /** Whether a request may be admitted now and reported to the owner afterwards. */
   takeWithOwner(allowance: TenantAllowance, now: number): boolean {
     if (now < allowance.pressureUntil) return false;
     return allowance.unconfirmed + 1 <= this.shareOf(allowance, now);
   }
 
-  /** Takes one while there is no owner. */
+  /** Takes one use while there is no owner; returns false when none is left in this window. */
   takeWithoutOwner(allowance: TenantAllowance, now: number): boolean {
     if (now - allowance.ownerlessWindowStart >= this.options.windowMs) {
       allowance.ownerlessWindowStart = now;
@@ -46,7 +47,7 @@
     return true;
   }
 
-  /** Nothing while the number of gateways is not known. */
+  /** The gateway's share; 0 while the number of gateways isn't known. */
   private shareOf({ bounds }: TenantAllowance, now: number): number {
     return bounds.maximumUnconfirmed / this.fleetSize.estimate(now);
   }
