--- a/src/tenants/quota-link.ts
+++ b/src/tenants/quota-link.ts
@@ -204,16 +204,16 @@
     }
     if (first?.kind === 'answered' && first.round === this.round) return responses;
     throw new MalformedMessageError(
-      'hear owner',
+      'receive from quota owner',
       address,
-      `expected a response to round ${this.round}, received ${first?.kind ?? 'an empty frame'}`,
+      'expected the response to the round in flight, received another message',
     );
   }
 
   private handleResponse(response: QuotaMessage, address: string): void {
     if (response.kind !== 'answer') {
       throw new MalformedMessageError(
-        'hear owner',
+        'receive from quota owner',
         address,
         `expected a message of kind answer, received ${response.kind}`,
       );
@@ -222,7 +222,7 @@
     const values = [granted, pressureMs, nextTokenMs, retryAfterMs, retrySpacingMs];
     if (!values.every((value) => value >= 0 && Number.isFinite(value))) {
       throw new MalformedMessageError(
-        'hear owner',
+        'receive from quota owner',
         address,
         'expected finite values of 0 or more in a token response',
       );
--- a/src/tenants/quota-metrics.ts
+++ b/src/tenants/quota-metrics.ts
@@ -64,7 +64,7 @@
     });
     this.requests = new Counter({
       name: 'driftway_controller_quota_requests_total',
-      help: 'Requests for which gateways requested or used tokens, by result.',
+      help: 'Requests that gateways asked tokens for or reported, by result; used_before: admitted without a token.',
       labelNames: ['result'],
       registers,
     });
