--- a/src/tenants/lease-renewal.ts
+++ b/src/tenants/lease-renewal.ts
@@ -80,8 +80,8 @@
   }
 
   private logStateChange(): void {
-    const { isHeld, lastLoggedIsHeld: wasHeld } = this;
-    if (wasHeld === undefined || isHeld === wasHeld) return;
+    const { isHeld, lastLoggedIsHeld } = this;
+    if (lastLoggedIsHeld === undefined || isHeld === lastLoggedIsHeld) return;
     this.lastLoggedIsHeld = isHeld;
     const { logger } = this.options;
     if (isHeld) logger.info('API keys accepted');
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -270,14 +270,14 @@
 
   private applyGrant(
     allowance: TenantAllowance,
-    { requestedAt: askedAt, waiting }: PendingTokenRequest,
+    { requestedAt, waiting }: PendingTokenRequest,
     response: TokenResponseMessage,
     now: number,
   ): void {
     const { granted } = response;
     const admitted = waiting.slice(0, granted);
     for (const { decide } of admitted) decide(this.admit(QuotaDecisionPath.Asked));
-    allowance.addTokens(granted - admitted.length, askedAt + allowance.bounds.tokenLifetimeMs);
+    allowance.addTokens(granted - admitted.length, requestedAt + allowance.bounds.tokenLifetimeMs);
     const refused = waiting.slice(granted);
     if (refused.length === 0) return;
     allowance.retrySchedule.update(response, now);
@@ -287,12 +287,13 @@
   /** Handles a response that arrived after its tokens expired: the waiting requests are queued again. */
   private discardGrant(
     allowance: TenantAllowance,
-    { requestedAt: askedAt, waiting }: PendingTokenRequest,
+    { requestedAt, waiting }: PendingTokenRequest,
     { granted }: TokenResponseMessage,
     now: number,
   ): void {
-    const { tokenLifetimeMs: lifetimeMs, returnTimeoutMs: returnMs } = allowance.bounds;
-    if (now <= askedAt + lifetimeMs + returnMs) allowance.recordReturned(granted, now);
+    const { tokenLifetimeMs, returnTimeoutMs } = allowance.bounds;
+    if (now <= requestedAt + tokenLifetimeMs + returnTimeoutMs)
+      allowance.recordReturned(granted, now);
     this.requeueWaiting(allowance, waiting);
   }
 
--- a/src/tenants/quota-server.ts
+++ b/src/tenants/quota-server.ts
@@ -122,7 +122,7 @@
         'expected a frame that starts with a round message',
       );
     }
-    const requests = messages.map((ask) => this.validateRequest(ask, gateway));
+    const requests = messages.map((message) => this.validateRequest(message, gateway));
     const status = this.options.log.status();
     if (!this.isOwner(status)) return [{ kind: 'redirect', owner: this.leaderAddress(status) }];
     this.startOwnershipIfNew(status.term);
--- a/src/tenants/tenant-allowance.ts
+++ b/src/tenants/tenant-allowance.ts
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** Expired tokens may not be used. They are returned to the owner until the return timeout, within which their effect on a window is bounded. */
+  /** Discards tokens that may no longer be used. Until the return timeout, within which their effect on a window is bounded, they are returned to the owner. */
   discardExpiredTokens(now: number): void {
     if (this.tokens === 0 || now <= this.tokensExpireAt) return;
     if (now <= this.tokensExpireAt + this.bounds.returnTimeoutMs)
@@ -85,7 +85,7 @@
     return this.returned > 0;
   }
 
-  /** Takes the tokens to return to the owner; those that have waited longer than the return timeout are lost. */
+  /** Takes the tokens to return to the owner. All are lost once the first of them has waited longer than the return timeout. */
   takeReturned(now: number): number {
     const { returned } = this;
     this.returned = 0;
--- a/test/tenants/lease-keeper.test.ts
+++ b/test/tenants/lease-keeper.test.ts
@@ -11,16 +11,16 @@
 import { BOUND_MS, runLeaseModel, type ModelFaults, type ModelResult } from './lease-model.js';
 
 const SEEDS = Array.from({ length: 150 }, (_, index) => index + 1);
-const LENGTH_MS = leaseDurationMs(BOUND_MS);
+const LEASE_MS = leaseDurationMs(BOUND_MS);
 /** Of the bound, without a path to the controllers, in which requests are still to be served. */
-const SERVED_PART = 0.6;
+const SERVED_FRACTION = 0.6;
 
-interface Parts {
+interface KeeperWithClock {
   readonly clock: ManualClock;
   readonly keeper: LeaseKeeper;
 }
 
-function createParts(version?: number, needsKeys = true): Parts {
+function createKeeper(version?: number, needsKeys = true): KeeperWithClock {
   const clock = new ManualClock();
   const keeper = new LeaseKeeper({ clock, random: seededRandom(7, 'keeper'), boundMs: BOUND_MS });
   if (version !== undefined) keeper.setRouteTable(version, needsKeys);
@@ -28,7 +28,11 @@
 }
 
 /** Asks, and has the answer a while later. */
-function renew({ clock, keeper }: Parts, version: number, afterMs: number): ConfirmationResult {
+function renew(
+  { clock, keeper }: KeeperWithClock,
+  version: number,
+  afterMs: number,
+): ConfirmationResult {
   const { number } = keeper.beginRequest();
   clock.advance(afterMs);
   return keeper.handleConfirmation(number, version);
@@ -68,15 +72,15 @@
 
 describe('a lease', () => {
   it('is not held before the first answer', () => {
-    const { keeper } = createParts(3);
+    const { keeper } = createKeeper(3);
     expect(keeper.isHeld).toBe(false);
     expect(keeper.retryAfterMs).toBeGreaterThan(0);
   });
 
   it('counts from the ask', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     expect(renew(parts, 3, 400)).toBe(ConfirmationResult.Renewed);
-    parts.clock.advance(LENGTH_MS - 401);
+    parts.clock.advance(LEASE_MS - 401);
     expect(parts.keeper.isHeld).toBe(true);
     parts.clock.advance(1);
     expect(parts.keeper.isHeld).toBe(false);
@@ -95,74 +99,74 @@
     keeper.setRouteTable(3, true);
     keeper.handleConfirmation(keeper.beginRequest().number, 3);
     expect(keeper.isHeld).toBe(true);
-    time.suspended = LENGTH_MS;
+    time.suspended = LEASE_MS;
     expect(keeper.isHeld).toBe(false);
   });
 
   it('is shorter than the bound by what clocks may be wrong', () => {
-    expect(LENGTH_MS).toBeLessThan(BOUND_MS * 0.99);
+    expect(LEASE_MS).toBeLessThan(BOUND_MS * 0.99);
   });
 
   it('is granted once the confirmed version is in force, counted from the ask', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     expect(renew(parts, 4, 100)).toBe(ConfirmationResult.DocumentMissing);
     expect(parts.keeper.isHeld).toBe(false);
     parts.clock.advance(100);
     parts.keeper.setRouteTable(4, true);
     expect(parts.keeper.isHeld).toBe(true);
-    expect(parts.keeper.expiresInMs).toBe(LENGTH_MS - 200);
+    expect(parts.keeper.expiresInMs).toBe(LEASE_MS - 200);
   });
 
   it('is not granted by a version that comes into force too late', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 4, 100);
-    parts.clock.advance(LENGTH_MS);
+    parts.clock.advance(LEASE_MS);
     parts.keeper.setRouteTable(4, true);
     expect(parts.keeper.isHeld).toBe(false);
   });
 
   it('is granted by a version older than the one in force', () => {
-    expect(renew(createParts(3), 2, 100)).toBe(ConfirmationResult.Renewed);
+    expect(renew(createKeeper(3), 2, 100)).toBe(ConfirmationResult.Renewed);
   });
 
   it('is not shortened by the answer to an earlier ask', () => {
-    const { clock, keeper } = createParts(3);
+    const { clock, keeper } = createKeeper(3);
     const first = keeper.beginRequest();
     clock.advance(500);
     const second = keeper.beginRequest();
     expect(keeper.handleConfirmation(second.number, 3)).toBe(ConfirmationResult.Renewed);
     expect(keeper.handleConfirmation(first.number, 3)).toBe(ConfirmationResult.Late);
-    expect(keeper.expiresInMs).toBe(LENGTH_MS);
+    expect(keeper.expiresInMs).toBe(LEASE_MS);
   });
 
   it('is not granted twice by one answer', () => {
-    const { clock, keeper } = createParts(3);
+    const { clock, keeper } = createKeeper(3);
     const { number } = keeper.beginRequest();
     keeper.handleConfirmation(number, 3);
-    clock.advance(LENGTH_MS);
+    clock.advance(LEASE_MS);
     expect(keeper.handleConfirmation(number, 3)).toBe(ConfirmationResult.Late);
     expect(keeper.isHeld).toBe(false);
   });
 
   it('is still held for most of the bound after the last path is lost, at the worst moment', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 3, 50);
-    parts.clock.advance(parts.keeper.requestDueInMs + BOUND_MS * SERVED_PART);
+    parts.clock.advance(parts.keeper.requestDueInMs + BOUND_MS * SERVED_FRACTION);
     expect(parts.keeper.isHeld).toBe(true);
   });
 });
 
 describe('asks', () => {
   it('are due at once at the start, before the first table too', () => {
-    expect(createParts().keeper.requestDueInMs).toBe(0);
+    expect(createKeeper().keeper.requestDueInMs).toBe(0);
   });
 
   it('are never due where no route needs a key', () => {
-    expect(createParts(3, false).keeper.requestDueInMs).toBe(Infinity);
+    expect(createKeeper(3, false).keeper.requestDueInMs).toBe(Infinity);
   });
 
   it('are due at once when routes begin to need keys', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 3, 5);
     parts.keeper.setRouteTable(4, false);
     parts.keeper.setRouteTable(5, true);
@@ -170,7 +174,7 @@
   });
 
   it('are spread over a part of the bound', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     const pauses = Array.from({ length: 200 }, () => {
       renew(parts, 3, 0);
       return parts.keeper.requestDueInMs / BOUND_MS;
@@ -181,7 +185,7 @@
   });
 
   it('go to another controller while they are not answered', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     const asks: ConfirmationRequest[] = [];
     for (let count = 0; count < 3; count += 1) {
       asks.push(parts.keeper.beginRequest());
@@ -194,7 +198,7 @@
   });
 
   it('are repeated soon, and not together, while no controller is followed', () => {
-    const { keeper } = createParts(3);
+    const { keeper } = createKeeper(3);
     const pauses = Array.from({ length: 200 }, () => {
       keeper.recordUnsent(keeper.beginRequest());
       return keeper.requestDueInMs;
@@ -204,16 +208,16 @@
   });
 
   it('are due at once when a gateway that has just started finds its first controller', () => {
-    const { keeper } = createParts();
+    const { keeper } = createKeeper();
     keeper.recordUnsent(keeper.beginRequest());
     keeper.handleControllerConnected();
     expect(keeper.requestDueInMs).toBe(0);
   });
 
   it('are not due at once when a controller is found after a cut', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 3, 5);
-    parts.clock.advance(LENGTH_MS);
+    parts.clock.advance(LEASE_MS);
     parts.keeper.recordUnsent(parts.keeper.beginRequest());
     parts.keeper.handleControllerConnected();
     expect(parts.keeper.requestDueInMs).toBeGreaterThan(0);
--- a/test/tenants/quota-link.test.ts
+++ b/test/tenants/quota-link.test.ts
@@ -80,7 +80,11 @@
   }
 
   /** Takes as often as `perSecond` for `milliseconds`; gives the times of what was admitted. */
-  async press(quota: GatewayQuota, perSecond: number, milliseconds: number): Promise<number[]> {
+  async sendAtRate(
+    quota: GatewayQuota,
+    perSecond: number,
+    milliseconds: number,
+  ): Promise<number[]> {
     const admitted: number[] = [];
     const end = this.simulation.now + milliseconds;
     while (this.simulation.now < end) {
@@ -139,7 +143,7 @@
   }
 }
 
-function mostInWindow(times: readonly number[]): number {
+function maximumInWindow(times: readonly number[]): number {
   const counts = times.map(
     (end) => times.filter((time) => time > end - 5_000 && time <= end).length,
   );
@@ -151,8 +155,8 @@
     const fleet = await QuotaFleet.start();
     fleet.leader = 1;
     const [, quota] = await fleet.startGateway('gateway-1');
-    const admitted = await fleet.press(quota, 80, 12_000);
-    expect(mostInWindow(admitted)).toBeLessThanOrEqual(ALLOWED);
+    const admitted = await fleet.sendAtRate(quota, 80, 12_000);
+    expect(maximumInWindow(admitted)).toBeLessThanOrEqual(ALLOWED);
     expect(admitted.length).toBeGreaterThan(10 * 12 * 0.97);
     expect(fleet.servers[1]?.usage()?.[0]?.refused).toBeGreaterThan(0);
     expect(fleet.servers[0]?.usage()).toBeUndefined();
@@ -173,14 +177,14 @@
   ])('goes on with the next owner when one is %s', async (_, fail) => {
     const fleet = await QuotaFleet.start();
     const [, quota] = await fleet.startGateway('gateway-1', 87);
-    const before = await fleet.press(quota, 40, 6_000);
+    const before = await fleet.sendAtRate(quota, 40, 6_000);
     fail(fleet);
     fleet.leader = undefined;
-    const during = await fleet.press(quota, 40, 1_500);
+    const during = await fleet.sendAtRate(quota, 40, 1_500);
     fleet.leader = 1;
     fleet.term = 2;
-    const after = await fleet.press(quota, 40, 10_000);
-    expect(mostInWindow([...before, ...during, ...after])).toBeLessThanOrEqual(ALLOWED);
+    const after = await fleet.sendAtRate(quota, 40, 10_000);
+    expect(maximumInWindow([...before, ...during, ...after])).toBeLessThanOrEqual(ALLOWED);
     expect(after.length).toBeGreaterThan(80);
   });
 
@@ -251,10 +255,10 @@
   it('gives a gateway that starts again no more than the limit', async () => {
     const fleet = await QuotaFleet.start();
     const [machine, quota] = await fleet.startGateway('gateway-1', 8);
-    const before = await fleet.press(quota, 80, 6_000);
+    const before = await fleet.sendAtRate(quota, 80, 6_000);
     machine.restart({ keepDisk: true });
-    const after = await fleet.press(fleet.quotaOn(machine, 8), 80, 6_000);
-    expect(mostInWindow([...before, ...after])).toBeLessThanOrEqual(ALLOWED);
+    const after = await fleet.sendAtRate(fleet.quotaOn(machine, 8), 80, 6_000);
+    expect(maximumInWindow([...before, ...after])).toBeLessThanOrEqual(ALLOWED);
     expect(after.length).toBeGreaterThan(40);
   });
 
