--- a/src/tenants/lease-keeper.ts
+++ b/src/tenants/lease-keeper.ts
@@ -135,14 +135,14 @@
 
   /** Call before the request is sent, because the lease starts now. */
   beginRequest(): ConfirmationRequest {
-    const { consecutiveUnanswered } = this;
+    const { consecutiveUnanswered: unanswered } = this;
     const now = this.options.clock.now();
     this.lastRequestNumber += 1;
     this.requestTimes.set(this.lastRequestNumber, now);
     this.discardExpired(now);
     this.consecutiveUnanswered += 1;
     this.nextRequestAt = now + this.options.boundMs * RESPONSE_TIMEOUT_FRACTION;
-    return { number: this.lastRequestNumber, unanswered: consecutiveUnanswered };
+    return { number: this.lastRequestNumber, unanswered };
   }
 
   /** Records that no controller was connected to send the request to. */
