--- a/src/tenants/fleet-size.ts
+++ b/src/tenants/fleet-size.ts
@@ -6,7 +6,10 @@
 
 /** Time in which controllers discover all gateways of a fleet that starts. */
 const DISCOVERY_MS = 15_000;
-/** A smaller number is accepted only when no number as large as the present one was reported for this long. */
+/**
+ * A smaller number is accepted only when no number as large as the present one was reported for
+ * this long.
+ */
 const SHRINK_DELAY_MS = 60_000;
 
 /** Grows at once and shrinks after a delay. Times are clock readings in milliseconds. */
@@ -16,7 +19,10 @@
 
   constructor(private readonly startedAt: number) {}
 
-  /** Call only while a quota owner is known: a side of a partition without an owner doesn't see the other gateways. */
+  /**
+   * Call only while a quota owner is known: a side of a partition without an owner doesn't see the
+   * other gateways.
+   */
   update(gateways: number | undefined, now: number): void {
     if (gateways === undefined) return;
     const isSmaller = this.size !== undefined && gateways < this.size;
--- a/src/tenants/gateway-quota.ts
+++ b/src/tenants/gateway-quota.ts
@@ -1,4 +1,7 @@
-/** Enforces the limits of tenants at a gateway: combines the decisions with the connection to the quota owner. */
+/**
+ * Enforces the limits of tenants at a gateway: combines the decisions with the connection to the
+ * quota owner.
+ */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import type { Telemetry } from '../observability/telemetry.js';
 import type { LocalIdentity } from '../protocol/handshake.js';
--- a/src/tenants/lease-keeper.ts
+++ b/src/tenants/lease-keeper.ts
@@ -39,7 +39,10 @@
 export interface LeaseKeeperOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly random: Pick<RandomSource, 'nextFloat'>;
-  /** Maximum time in milliseconds from the acknowledgement of a revocation until no gateway accepts the key. */
+  /**
+   * Maximum time in milliseconds from the acknowledgement of a revocation until no gateway accepts
+   * the key.
+   */
   readonly boundMs: number;
   readonly faults?: LeaseFaults;
 }
@@ -57,7 +60,10 @@
 /** A request to a controller to confirm the version of the route document. */
 export interface ConfirmationRequest {
   readonly number: number;
-  /** Consecutive earlier requests without a response; if there are any, this one goes to another controller. */
+  /**
+   * Consecutive earlier requests without a response; if there are any, this one goes to another
+   * controller.
+   */
   readonly unanswered: number;
 }
 
--- a/src/tenants/lease-metrics.ts
+++ b/src/tenants/lease-metrics.ts
@@ -1,7 +1,10 @@
 /** Metrics of a gateway's authorization lease. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 
-/** Result label of a renewal whose request couldn't be sent; the other results are those of `ConfirmationResult`. */
+/**
+ * Result label of a renewal whose request couldn't be sent; the other results are those of
+ * `ConfirmationResult`.
+ */
 export const UNSENT_RENEWAL = 'unsent';
 
 /** Counts renewals by result and shows whether the lease is held. */
--- a/src/tenants/quota-bounds.ts
+++ b/src/tenants/quota-bounds.ts
@@ -41,7 +41,10 @@
   readonly initialTokens: number;
   /** Milliseconds for which a granted token may be used, counted from the sending of the token request. */
   readonly tokenLifetimeMs: number;
-  /** Milliseconds after its use or expiry in which a token may be returned; it then waits at most as long to be sent. */
+  /**
+   * Milliseconds after its use or expiry in which a token may be returned; it then waits at most as
+   * long to be sent.
+   */
   readonly returnTimeoutMs: number;
   /** Maximum unconfirmed uses of all gateways together under one owner of a window. */
   readonly maximumUnconfirmed: number;
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -39,7 +39,10 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly settings: QuotaSettings;
-  /** Number of gateways in the fleet, including partitioned ones; undefined until a controller has reported it. */
+  /**
+   * Number of gateways in the fleet, including partitioned ones; undefined until a controller has
+   * reported it.
+   */
   readonly countGateways: () => number | undefined;
   /** Called when a token request is queued. */
   readonly onRequestQueued: () => void;
@@ -99,7 +102,10 @@
     this.updateFleetSize();
   }
 
-  /** Call when the owner is lost. Tokens that it may have granted in response to pending requests stay unused. */
+  /**
+   * Call when the owner is lost. Tokens that it may have granted in response to pending requests
+   * stay unused.
+   */
   handleDisconnected(): void {
     if (this.isConnected) this.ownerlessSince = this.options.clock.now();
     this.isConnected = false;
@@ -143,7 +149,10 @@
     if (this.needsRequest(allowance)) this.enqueue(allowance);
   }
 
-  /** Refuses waiting requests whose deadline passes before the next call, in `nextCallMs`. Call it while {@link hasWaiting}. */
+  /**
+   * Refuses waiting requests whose deadline passes before the next call, in `nextCallMs`. Call it
+   * while {@link hasWaiting}.
+   */
   expireWaiting(nextCallMs: number): void {
     const nextCallAt = this.options.clock.now() + nextCallMs;
     for (const allowance of this.queued) {
--- a/src/tenants/quota-link.ts
+++ b/src/tenants/quota-link.ts
@@ -30,7 +30,10 @@
 const EXPIRY_INTERVAL_MS = 100;
 /** Time for which a controller that didn't respond is avoided if another one is known. */
 const AVOIDANCE_MS = 1_500;
-/** Redirects followed without a delay; bounded because two controllers could redirect to each other forever. */
+/**
+ * Redirects followed without a delay; bounded because two controllers could redirect to each other
+ * forever.
+ */
 const MAXIMUM_REDIRECTS = 2;
 
 /** Dependencies of a {@link QuotaLink}. */
@@ -50,7 +53,10 @@
   private readonly stopped = new AbortController();
   private readonly wake: Notifier;
   private connection: MessageConnection | undefined;
-  /** Address to connect to next, from a redirect or for a reconnect; empty when any controller may be chosen. */
+  /**
+   * Address to connect to next, from a redirect or for a reconnect; empty when any controller may
+   * be chosen.
+   */
   private nextController = '';
   /** Address of the controller that last failed to respond; others are preferred until `avoidedUntil`. */
   private avoidedAddress = '';
@@ -95,7 +101,10 @@
     }
   }
 
-  /** Chooses the next controller: the one to which the last redirect or reconnect points, otherwise a random one. */
+  /**
+   * Chooses the next controller: the one to which the last redirect or reconnect points, otherwise
+   * a random one.
+   */
   private chooseAddress(): string | undefined {
     const { environment, controllers } = this.options;
     const { nextController } = this;
--- a/src/tenants/quota-messages.ts
+++ b/src/tenants/quota-messages.ts
@@ -11,7 +11,10 @@
   readonly round: number;
 }
 
-/** Gateway to owner: a token request with the uses of one tenant to report. Numbers count requests or tokens. */
+/**
+ * Gateway to owner: a token request with the uses of one tenant to report. Numbers count requests
+ * or tokens.
+ */
 export interface TokenRequestMessage {
   readonly kind: 'ask';
   readonly tenant: string;
@@ -23,7 +26,10 @@
   readonly waiting: number;
   /** Tokens to prefetch for requests that are expected soon. */
   readonly ahead: number;
-  /** Requests refused by the gateway since the last token request: because no token was due, and without an owner. */
+  /**
+   * Requests refused by the gateway since the last token request: because no token was due, and
+   * without an owner.
+   */
   readonly refused: number;
   readonly refusedWithoutOwner: number;
 }
--- a/src/tenants/quota-server.ts
+++ b/src/tenants/quota-server.ts
@@ -77,7 +77,10 @@
     return this.isOwner(status) ? status.memberId : status.leaderId;
   }
 
-  /** Usage of the tenants with a limit, in the order of the document; undefined unless this controller is the owner. */
+  /**
+   * Usage of the tenants with a limit, in the order of the document; undefined unless this
+   * controller is the owner.
+   */
   usage(): readonly TenantUsageReport[] | undefined {
     if (!this.isOwner(this.options.log.status())) return undefined;
     const limited = [...this.tenants.values()].filter(isLimited);
@@ -165,7 +168,10 @@
     return role === 'leader' && sinceQuorumMs < this.options.electionTimeoutMs * OWNERSHIP_FRACTION;
   }
 
-  /** Within one term no other controller can have granted tokens, so the accounts stay valid until the term changes. */
+  /**
+   * Within one term no other controller can have granted tokens, so the accounts stay valid until
+   * the term changes.
+   */
   private startOwnershipIfNew(term: number): void {
     if (this.ownedTerm === term) return;
     this.ownedTerm = term;
--- a/src/tenants/retry-after-schedule.ts
+++ b/src/tenants/retry-after-schedule.ts
@@ -1,4 +1,7 @@
-/** Assigns the Retry-After times of one tenant's refused requests at one gateway. Matters for a tenant far above its limit. */
+/**
+ * Assigns the Retry-After times of one tenant's refused requests at one gateway. Matters for a
+ * tenant far above its limit.
+ */
 
 /** Maximum retry time of a refused request, in windows. */
 export const MAXIMUM_RETRY_AFTER_WINDOWS = 2;
@@ -32,7 +35,10 @@
     return now < this.nextTokenAt;
   }
 
-  /** Milliseconds until the next free retry time, behind those assigned before. At most `horizonMs`, unless the next token is due later. */
+  /**
+   * Milliseconds until the next free retry time, behind those assigned before. At most `horizonMs`,
+   * unless the next token is due later.
+   */
   reserve(horizonMs: number, now: number): number {
     const latest = Math.max(this.nextTokenAt, now + horizonMs);
     const retryAt = Math.min(Math.max(this.nextRetryAt, this.nextTokenAt), latest);
--- a/src/tenants/tenant-allowance.ts
+++ b/src/tenants/tenant-allowance.ts
@@ -67,7 +67,10 @@
     return true;
   }
 
-  /** Discards tokens that may no longer be used. Until the return timeout, within which their effect on a window is bounded, they are returned to the owner. */
+  /**
+   * Discards tokens that may no longer be used. Until the return timeout, within which their effect
+   * on a window is bounded, they are returned to the owner.
+   */
   discardExpiredTokens(now: number): void {
     if (this.tokens === 0 || now <= this.tokensExpireAt) return;
     if (now <= this.tokensExpireAt + this.bounds.returnTimeoutMs)
@@ -85,7 +88,10 @@
     return this.returned > 0;
   }
 
-  /** Takes the tokens to return to the owner. All are lost once the first of them has waited longer than the return timeout. */
+  /**
+   * Takes the tokens to return to the owner. All are lost once the first of them has waited longer
+   * than the return timeout.
+   */
   takeReturned(now: number): number {
     const { returned } = this;
     this.returned = 0;
--- a/src/tenants/tenant-directory.ts
+++ b/src/tenants/tenant-directory.ts
@@ -33,7 +33,10 @@
     }
   }
 
-  /** Returns `previous` itself when the tenants are unchanged, because most documents change only routes. */
+  /**
+   * Returns `previous` itself when the tenants are unchanged, because most documents change only
+   * routes.
+   */
   static createOrReuse(
     entries: readonly TenantEntry[],
     previous?: TenantDirectory,
--- a/src/tenants/token-bucket.ts
+++ b/src/tenants/token-bucket.ts
@@ -1,7 +1,10 @@
 /** The token bucket of one tenant at the quota owner, and the retry times reserved for refused requests. */
 import type { QuotaBounds } from './quota-bounds.js';
 
-/** Refills at the tenant's rate up to its capacity. All times are readings of one clock, in milliseconds. */
+/**
+ * Refills at the tenant's rate up to its capacity. All times are readings of one clock, in
+ * milliseconds.
+ */
 export class TokenBucket {
   private tokens: number;
   /** Tokens up to this time are reserved for the retries of refused requests. */
--- a/test/tenants/fleet-size.test.ts
+++ b/test/tenants/fleet-size.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import { FleetSize } from '../../src/tenants/fleet-size.js';
 
-it('is not known before a fleet that starts has been counted', () => {
+it('the fleet size is unknown until the controllers have had time to discover a starting fleet', () => {
   const size = new FleetSize(0);
   size.update(3, 1_000);
   expect(size.estimate(14_999)).toBe(Infinity);
@@ -9,7 +9,7 @@
   expect(size.estimate(15_000)).toBe(87);
 });
 
-it('grows at once, and shrinks after the smaller number has held', () => {
+it('the fleet size grows at once, and shrinks only after a delay', () => {
   const size = new FleetSize(0);
   size.update(87, 20_000);
   size.update(4, 30_000);
@@ -23,6 +23,6 @@
   expect(size.estimate(91_000)).toBe(60);
 });
 
-it('is not known where no controller has told it', () => {
+it('the fleet size is unknown when no controller has reported it', () => {
   expect(new FleetSize(0).estimate(1_000_000)).toBe(Infinity);
 });
--- a/test/tenants/keys-stay-secret.test.ts
+++ b/test/tenants/keys-stay-secret.test.ts
@@ -13,7 +13,7 @@
   { pathPrefix: '/one/', service: 'one' },
   { pathPrefix: '/q/', shards: SHARDS, topRecords: 3, requiredCoverage: 0.5 },
 ];
-/** In which gateways connect to each other. Milliseconds. */
+/** Time in which the gateways connect to each other. */
 const CONNECT_MS = 2_000;
 
 interface Fleet {
@@ -39,7 +39,7 @@
   return { harness, replicas, controllerLines };
 }
 
-/** Documents that are refused, as operators may send them by mistake. */
+/** Sends invalid documents, as operators may do by mistake, and returns the refusals. */
 async function sendWrongDocuments({ harness }: Fleet): Promise<string[]> {
   const document = { version: 99, routes: [], services: [] };
   const tenants = [
@@ -75,7 +75,7 @@
   }
 }
 
-/** Every line and every metric of every process. */
+/** All log lines and metrics of all processes. */
 async function collectOutput({ harness, controllerLines }: Fleet): Promise<string> {
   const { others, group } = harness;
   const lines = [controllerLines, harness.lines, ...others.map((other) => other.lines)];
@@ -89,7 +89,7 @@
 }
 
 describe('API keys', () => {
-  it('are in no line, metric or refusal of any daemon', async () => {
+  it('appear in no log line, metric or refusal of any daemon', async () => {
     const fleet = await start();
     const answers = await sendWrongDocuments(fleet);
     await sendRequests(fleet);
@@ -102,7 +102,7 @@
     expect(answers.join()).not.toContain('secret');
   });
 
-  it('come back to the operator of the route document as they were sent', async () => {
+  it('are returned unchanged to an operator who reads the route document', async () => {
     const { harness } = await start();
     const document = await harness.group.readRoutes(harness.group.machineAt(1));
     for (const key of TENANTS.flatMap(({ keys }) => keys)) expect(document).toContain(`"${key}"`);
@@ -110,11 +110,11 @@
 });
 
 describe('the fingerprint of a request', () => {
-  /** By id, the fingerprints in lines of all gateways. */
+  /** Sends a request with each key; returns the fingerprints in the log lines of all gateways for each. */
   async function fingerprintsOf(keys: readonly string[]): Promise<ReadonlySet<unknown>[]> {
     const { harness, replicas } = await start();
     const slow = replicas.filter(({ options }) => options.service.startsWith('shard'));
-    // One replica of each shard fails, so that the gateways that gather write lines too.
+    // One replica of each shard fails, so that the gateways that gather shards log lines too.
     for (const replica of slow.filter((_, index) => index % 2 === 0)) {
       replica.behaviour = ReplicaBehaviour.Fail;
     }
@@ -131,7 +131,7 @@
     return found;
   }
 
-  it('is the same at every gateway and under each key of a tenant, and differs by tenant', async () => {
+  it('is the same at every gateway and for each key of a tenant, and differs between tenants', async () => {
     const found = await fingerprintsOf(['secret-1', 'secret-2', 'secret-3']);
     expect(found.map(({ size }) => size)).toEqual([1, 1, 1]);
     const [first, second, other] = found.map((fingerprints) => [...fingerprints][0]);
--- a/test/tenants/large-document.test.ts
+++ b/test/tenants/large-document.test.ts
@@ -19,7 +19,7 @@
 }));
 
 describe('a route document of 10,000 tenants with 30,000 long keys', () => {
-  it('is accepted, reaches gateways and names the tenant of each key', async () => {
+  it('is accepted, reaches gateways and maps each key to its tenant', async () => {
     const bytes = JSON.stringify(DOCUMENT).length;
     expect(bytes).toBeGreaterThan(2_000_000);
     expect(bytes).toBeLessThan(MAXIMUM_ROUTE_DOCUMENT_BYTES);
--- a/test/tenants/lease-keeper.test.ts
+++ b/test/tenants/lease-keeper.test.ts
@@ -12,7 +12,10 @@
 
 const SEEDS = Array.from({ length: 150 }, (_, index) => index + 1);
 const LEASE_MS = leaseDurationMs(BOUND_MS);
-/** Of the bound, without a path to the controllers, in which requests are still to be served. */
+/**
+ * Fraction of the bound for which requests must still be served after all controllers become
+ * unreachable.
+ */
 const SERVED_FRACTION = 0.6;
 
 interface KeeperWithClock {
@@ -27,7 +30,7 @@
   return { clock, keeper };
 }
 
-/** Asks, and has the answer a while later. */
+/** Sends a confirmation request, and handles its response `afterMs` later. */
 function renew(
   { clock, keeper }: KeeperWithClock,
   version: number,
@@ -49,35 +52,35 @@
   return total;
 }
 
-describe('no key is accepted later than the bound after the document that takes it away', () => {
-  it('whatever is late, lost, cut off, frozen or restarted', () => {
+describe('no key is accepted later than the bound after the document that revokes it', () => {
+  it('holds under delays, losses, partitions, frozen processes and restarts', () => {
     const { accepted, refused, violations } = runAll();
     expect(violations).toBe(0);
     expect(accepted).toBeGreaterThan(refused);
     expect(refused).toBeGreaterThan(0);
   });
 
-  it('which fails where the lease counts from the answer', () => {
+  it('is violated when the lease starts at the response', () => {
     expect(runAll({ countFromResponse: true }).violations).toBeGreaterThan(0);
   });
 
-  it('which fails where a controller answers by what it believes', () => {
+  it('is violated when a controller confirms from its local state without a read barrier', () => {
     expect(runAll({ skipBarrier: true }).violations).toBeGreaterThan(0);
   });
 
-  it('which fails where the version is not compared', () => {
+  it('is violated when the confirmed version is not compared with the one in force', () => {
     expect(runAll({ ignoreVersion: true }).violations).toBeGreaterThan(0);
   });
 });
 
 describe('a lease', () => {
-  it('is not held before the first answer', () => {
+  it('is not held before the first response', () => {
     const { keeper } = createKeeper(3);
     expect(keeper.isHeld).toBe(false);
     expect(keeper.retryAfterMs).toBeGreaterThan(0);
   });
 
-  it('counts from the ask', () => {
+  it('starts when the confirmation request is sent', () => {
     const parts = createKeeper(3);
     expect(renew(parts, 3, 400)).toBe(ConfirmationResult.Renewed);
     parts.clock.advance(LEASE_MS - 401);
@@ -86,7 +89,7 @@
     expect(parts.keeper.isHeld).toBe(false);
   });
 
-  it('ends while the machine is suspended, for which the steady clock stands still', () => {
+  it('expires while the machine is suspended, although the steady clock stops', () => {
     const time = { steady: 1_000, suspended: 0 };
     const readings = {
       steady: () => time.steady,
@@ -103,11 +106,11 @@
     expect(keeper.isHeld).toBe(false);
   });
 
-  it('is shorter than the bound by what clocks may be wrong', () => {
+  it('is shorter than the bound by the margin for clock errors', () => {
     expect(LEASE_MS).toBeLessThan(BOUND_MS * 0.99);
   });
 
-  it('is granted once the confirmed version is in force, counted from the ask', () => {
+  it('is granted once the confirmed version is in force, starting at the confirmation request', () => {
     const parts = createKeeper(3);
     expect(renew(parts, 4, 100)).toBe(ConfirmationResult.DocumentMissing);
     expect(parts.keeper.isHeld).toBe(false);
@@ -117,7 +120,7 @@
     expect(parts.keeper.expiresInMs).toBe(LEASE_MS - 200);
   });
 
-  it('is not granted by a version that comes into force too late', () => {
+  it('is not granted when the confirmed version comes into force too late', () => {
     const parts = createKeeper(3);
     renew(parts, 4, 100);
     parts.clock.advance(LEASE_MS);
@@ -125,11 +128,11 @@
     expect(parts.keeper.isHeld).toBe(false);
   });
 
-  it('is granted by a version older than the one in force', () => {
+  it('is granted when the confirmed version is older than the one in force', () => {
     expect(renew(createKeeper(3), 2, 100)).toBe(ConfirmationResult.Renewed);
   });
 
-  it('is not shortened by the answer to an earlier ask', () => {
+  it('is not shortened by the response to an earlier request', () => {
     const { clock, keeper } = createKeeper(3);
     const first = keeper.beginRequest();
     clock.advance(500);
@@ -139,7 +142,7 @@
     expect(keeper.expiresInMs).toBe(LEASE_MS);
   });
 
-  it('is not granted twice by one answer', () => {
+  it('is not granted twice by one response', () => {
     const { clock, keeper } = createKeeper(3);
     const { number } = keeper.beginRequest();
     keeper.handleConfirmation(number, 3);
@@ -148,7 +151,7 @@
     expect(keeper.isHeld).toBe(false);
   });
 
-  it('is still held for most of the bound after the last path is lost, at the worst moment', () => {
+  it('is still held for most of the bound when the controllers become unreachable just before the next request', () => {
     const parts = createKeeper(3);
     renew(parts, 3, 50);
     parts.clock.advance(parts.keeper.requestDueInMs + BOUND_MS * SERVED_FRACTION);
@@ -157,15 +160,15 @@
 });
 
 describe('asks', () => {
-  it('are due at once at the start, before the first table too', () => {
+  it('confirmation requests are due at once at the start, also before the first route table', () => {
     expect(createKeeper().keeper.requestDueInMs).toBe(0);
   });
 
-  it('are never due where no route needs a key', () => {
+  it('confirmation requests are never due while no route needs a key', () => {
     expect(createKeeper(3, false).keeper.requestDueInMs).toBe(Infinity);
   });
 
-  it('are due at once when routes begin to need keys', () => {
+  it('a confirmation request is due at once when routes begin to need keys', () => {
     const parts = createKeeper(3);
     renew(parts, 3, 5);
     parts.keeper.setRouteTable(4, false);
@@ -173,7 +176,7 @@
     expect(parts.keeper.requestDueInMs).toBe(0);
   });
 
-  it('are spread over a part of the bound', () => {
+  it('confirmation requests are spread by jitter', () => {
     const parts = createKeeper(3);
     const pauses = Array.from({ length: 200 }, () => {
       renew(parts, 3, 0);
@@ -184,7 +187,7 @@
     expect(Math.max(...pauses) - Math.min(...pauses)).toBeGreaterThan(0.04);
   });
 
-  it('go to another controller while they are not answered', () => {
+  it('confirmation requests count the unanswered ones before them, so that another controller is tried', () => {
     const parts = createKeeper(3);
     const asks: ConfirmationRequest[] = [];
     for (let count = 0; count < 3; count += 1) {
@@ -197,7 +200,7 @@
     expect(parts.keeper.beginRequest().unanswered).toBe(0);
   });
 
-  it('are repeated soon, and not together, while no controller is followed', () => {
+  it('confirmation requests are repeated soon and with jitter while no controller is connected', () => {
     const { keeper } = createKeeper(3);
     const pauses = Array.from({ length: 200 }, () => {
       keeper.recordUnsent(keeper.beginRequest());
@@ -207,14 +210,14 @@
     expect(Math.max(...pauses) - Math.min(...pauses)).toBeGreaterThan(40);
   });
 
-  it('are due at once when a gateway that has just started finds its first controller', () => {
+  it('a confirmation request is due at once when a gateway that has just started connects to its first controller', () => {
     const { keeper } = createKeeper();
     keeper.recordUnsent(keeper.beginRequest());
     keeper.handleControllerConnected();
     expect(keeper.requestDueInMs).toBe(0);
   });
 
-  it('are not due at once when a controller is found after a cut', () => {
+  it('a confirmation request is not due at once when a controller is reached after a partition', () => {
     const parts = createKeeper(3);
     renew(parts, 3, 5);
     parts.clock.advance(LEASE_MS);
--- a/test/tenants/lease-model.ts
+++ b/test/tenants/lease-model.ts
@@ -1,6 +1,7 @@
 /**
- * A gateway's lease against everything that can happen to its messages, in steps of virtual time:
- * any delay and loss, documents later than the bound, cuts, freezes, restarts, wrong clock rates.
+ * Simulates the authorization lease of one gateway under random faults, in steps of virtual time:
+ * message delay and loss, documents that arrive after the revocation bound, network partitions, frozen
+ * and restarted processes, and wrong clock rates.
  */
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
 import type { RandomSource } from '../../src/seams/random-source.js';
@@ -9,22 +10,22 @@
 export const BOUND_MS = 5_000;
 const STEP_MS = 5;
 const DURATION_MS = 60_000;
-/** Largest error of the gateway's clock rate. */
+/** Maximum error of the gateway's clock rate, as a fraction. */
 const MAXIMUM_CLOCK_RATE_ERROR = 0.009;
-/** How old the state of a controller that asks no quorum may be. Milliseconds. */
+/** Maximum age of the state of a controller that doesn't consult a quorum. */
 const MAXIMUM_STALENESS_MS = 8_000;
 
-/** What the model is broken by. */
+/** Defects that are injected into the model. */
 export interface ModelFaults extends LeaseFaults {
-  /** A controller answers by what it believes, which may be old. */
+  /** A controller confirms from its local state, which may be stale, without a read barrier. */
   readonly skipBarrier?: boolean;
 }
 
-/** What was seen in one schedule. */
+/** Counts of the requests in one schedule. */
 export interface ModelResult {
   readonly accepted: number;
   readonly refused: number;
-  /** Requests accepted by a document of which the next one was acknowledged longer ago than the bound. */
+  /** Requests accepted under a document whose successor was acknowledged longer ago than the bound. */
   readonly violations: number;
 }
 
@@ -34,7 +35,7 @@
   readonly run: () => void;
 }
 
-/** One schedule. */
+/** One random schedule of faults and messages. */
 class LeaseModel {
   private now = 0;
   private readonly random: RandomSource;
@@ -82,7 +83,7 @@
     this.request();
   }
 
-  /** Whether something happens in this step that happens once in `1 / perMillisecond`. */
+  /** Whether an event with the rate `perMillisecond` happens in this step. */
   private happens(perMillisecond: number): boolean {
     return this.random.nextFloat() < perMillisecond * STEP_MS;
   }
@@ -91,7 +92,7 @@
     return this.random.nextFloat() * longest;
   }
 
-  /** Mostly short, at times as long as anything that is waited for. */
+  /** Mostly short, sometimes close to the revocation bound. */
   private drawDelay(): number {
     return this.random.nextFloat() < 0.7 ? this.draw(50) : this.draw(4_000);
   }
@@ -109,7 +110,10 @@
     this.keeper.setRouteTable(version, true);
   }
 
-  /** The document in force is known before the start, as it comes before any answer could. */
+  /**
+   * A restarted gateway already has its document, because the document arrives before any response
+   * could.
+   */
   private restart(): void {
     this.incarnation += 1;
     this.frozenUntil = 0;
@@ -127,7 +131,7 @@
     });
   }
 
-  /** Anything that a quorum held between the arrival of the question and the proof. */
+  /** A version that a quorum held between the arrival of the request and the read barrier. */
   private drawConfirmedVersion(arrivesAt: number, provenAt: number): number {
     if (this.faults.skipBarrier === true) {
       return this.versionAt(arrivesAt - this.draw(MAXIMUM_STALENESS_MS));
@@ -143,7 +147,7 @@
     this.deliveries.push({ at: this.now + delay, incarnation: this.incarnation, run });
   }
 
-  /** Documents reach a later life as well: its streams bring them anew. */
+  /** Drops messages to an earlier incarnation; its successor receives documents again on new streams. */
   private deliver(): void {
     if (this.now < this.cutUntil) return;
     const due = this.deliveries.filter(({ at }) => at <= this.now);
--- a/test/tenants/quota-client.test.ts
+++ b/test/tenants/quota-client.test.ts
@@ -1,4 +1,4 @@
-/** Requests at a gateway whose time ends while the owner is asked. */
+/** Tests requests whose deadline passes while their token request is pending. */
 import { expect, it } from 'vitest';
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
 import { QuotaClient } from '../../src/tenants/quota-client.js';
@@ -13,7 +13,7 @@
   throw new Error('not used');
 }
 
-/** A client with an owner, which passes nothing on without a token. */
+/** A client with an owner that admits nothing without a token, because it doesn't know the fleet size. */
 function createClient(): QuotaClient {
   const client = new QuotaClient({
     clock: { now: () => 0, wallTime: unused, setTimer: unused, sleep: unused },
@@ -27,7 +27,7 @@
   return client;
 }
 
-it('refuses a request whose time ends before the answer to its question', async () => {
+it('refuses a request whose deadline passes before the response to its token request', async () => {
   const client = createClient();
   const decision = client.take(TENANT, WAITS_MS) as Promise<QuotaDecision>;
   expect(client.takeRequests()).toMatchObject([{ tenant: 'acme', waiting: 1 }]);
@@ -37,7 +37,7 @@
   expect(await decision).toMatchObject({ isAdmitted: false });
 });
 
-it('keeps a token that came too late for its request for the next one', async () => {
+it('keeps a token that arrives too late for its request and uses it for the next request', async () => {
   const client = createClient();
   const decision = client.take(TENANT, WAITS_MS);
   client.takeRequests();
--- a/test/tenants/quota-designs.test.ts
+++ b/test/tenants/quota-designs.test.ts
@@ -1,4 +1,4 @@
-/** The design that was built beside others that were weighed, in the same replay. */
+/** Compares the implemented quota design with three alternatives in the same simulation. */
 import { describe, expect, it } from 'vitest';
 import { computeQuotaBounds } from '../../src/tenants/quota-bounds.js';
 import type { Tenant } from '../../src/tenants/tenant.js';
@@ -20,7 +20,10 @@
   { name: 'large', requestsPerSecond: 200, burst: 100 },
 ];
 
-/** Runs a steady load at 0.9 of the limit; then one request at every gateway, and eight times the limit. */
+/**
+ * Simulates a steady load at 0.9 of the limit, then one request at every gateway together with
+ * eight times the limit.
+ */
 async function simulate(
   replay: QuotaReplay,
   { name, requestsPerSecond, burst }: Tenant,
@@ -33,7 +36,7 @@
   await replay.runUntil(70_000);
 }
 
-/** Decides anew, by a share of the limit at each gateway. */
+/** Replaces the decisions by those of fixed equal shares of the limit at each gateway. */
 function divideEqually(replay: QuotaReplay, tenant: Tenant): void {
   const bounds = computeQuotaBounds(tenant, SETTINGS);
   const share = {
@@ -64,13 +67,13 @@
   const waited = steady.filter((outcome) => outcome.waited).length / steady.length;
   console.info(
     `${design}, ${tenant.name}: ${most} of ${allowed.toFixed(0)} allowed in a window, ` +
-      `refused beneath the limit ${refused} of ${beneath}, waited ${waited.toFixed(2)}`,
+      `refused below the limit ${refused} of ${beneath}, waited ${waited.toFixed(2)}`,
   );
   return { exceedsLimit: most > allowed, refusedBeneath: refused / beneath, waited };
 }
 
 describe.each(TENANTS)('designs for a $name tenant', (tenant) => {
-  it.each(SEEDS)('the one that was built keeps to the bound, seed %i', async (seed) => {
+  it.each(SEEDS)('the implemented design stays within the tolerance, seed %i', async (seed) => {
     const replay = new QuotaReplay(GATEWAYS, seed);
     await simulate(replay, tenant);
     const figures = measure(replay, tenant, 'built');
@@ -78,24 +81,30 @@
     expect(figures.refusedBeneath).toBeLessThan(0.001);
   });
 
-  it.each(SEEDS)('always asking keeps to the bound, seed %i', async (seed) => {
-    const replay = new QuotaReplay(GATEWAYS, seed);
-    replay.countGateways = () => undefined;
-    await simulate(replay, tenant);
-    expect(measure(replay, tenant, 'always asking').exceedsLimit).toBe(false);
-  });
+  it.each(SEEDS)(
+    'a token request for every request stays within the tolerance, seed %i',
+    async (seed) => {
+      const replay = new QuotaReplay(GATEWAYS, seed);
+      replay.countGateways = () => undefined;
+      await simulate(replay, tenant);
+      expect(measure(replay, tenant, 'always asking').exceedsLimit).toBe(false);
+    },
+  );
 
-  it.each(SEEDS)('one unconfirmed use at each gateway delays least, seed %i', async (seed) => {
-    const replay = new QuotaReplay(GATEWAYS, seed);
-    replay.countGateways = () => computeQuotaBounds(tenant, SETTINGS).maximumUnconfirmed;
-    await simulate(replay, tenant);
-    const figures = measure(replay, tenant, 'one unconfirmed each');
-    expect(figures.waited).toBeLessThan(0.1);
-    // What speaks against it.
-    if (tenant.name === 'small') expect(figures.exceedsLimit).toBe(true);
-  });
+  it.each(SEEDS)(
+    'one unconfirmed use per gateway delays few requests but exceeds the limit of a small tenant, seed %i',
+    async (seed) => {
+      const replay = new QuotaReplay(GATEWAYS, seed);
+      replay.countGateways = () => computeQuotaBounds(tenant, SETTINGS).maximumUnconfirmed;
+      await simulate(replay, tenant);
+      const figures = measure(replay, tenant, 'one unconfirmed each');
+      expect(figures.waited).toBeLessThan(0.1);
+      // The reason against this design.
+      if (tenant.name === 'small') expect(figures.exceedsLimit).toBe(true);
+    },
+  );
 
-  it.each(SEEDS)('equal shares refuse what lies beneath the limit, seed %i', async (seed) => {
+  it.each(SEEDS)('fixed equal shares refuse requests below the limit, seed %i', async (seed) => {
     const replay = new QuotaReplay(GATEWAYS, seed);
     await simulate(replay, tenant);
     divideEqually(replay, tenant);
--- a/test/tenants/quota-link.test.ts
+++ b/test/tenants/quota-link.test.ts
@@ -20,7 +20,7 @@
 const PORT = 7500;
 const IDENTITY = { clusterId: 'quota', clusterKey: 'a-long-random-secret' };
 const TENANT = { name: 'one', keys: ['key'], requestsPerSecond: 10, burst: 5 };
-/** What a window may hold of the tenant. */
+/** Requests of the tenant that are allowed in a window, including the tolerance. */
 const ALLOWED = (10 * 5 + 5) * 1.1 + 20;
 
 function registerWith(...tenants: object[]): RouteDocumentRegister {
@@ -30,15 +30,15 @@
   return register;
 }
 
-/** Controllers that a test appoints the owner of, and gateways. */
+/** Simulates controllers, whose leader the test sets, and gateways. */
 class QuotaFleet {
   readonly simulation: Simulation;
   readonly controllers: SimulatedMachine[] = [];
   readonly servers: QuotaServer[] = [];
-  /** Index of the leader; undefined while there is none. */
+  /** Index of the leading controller; undefined while there is none. */
   leader: number | undefined = 0;
   term = 1;
-  /** Of every controller. Milliseconds. */
+  /** Time since every controller heard from a quorum, in milliseconds. */
   sinceQuorumMs = 0;
 
   private constructor(seed: number) {
@@ -79,7 +79,10 @@
     return this.simulation.settle(Promise.resolve(quota.client.take(TENANT)));
   }
 
-  /** Takes as often as `perSecond` for `milliseconds`; gives the times of what was admitted. */
+  /**
+   * Sends `perSecond` requests a second for `milliseconds`; returns the times at which requests
+   * were admitted.
+   */
   async sendAtRate(
     quota: GatewayQuota,
     perSecond: number,
@@ -150,8 +153,8 @@
   return Math.max(0, ...counts);
 }
 
-describe('connection to the owner of limits', () => {
-  it('finds the owner through another controller, and keeps the limit', async () => {
+describe('connection to the quota owner', () => {
+  it('finds the owner through another controller, and enforces the limit', async () => {
     const fleet = await QuotaFleet.start();
     fleet.leader = 1;
     const [, quota] = await fleet.startGateway('gateway-1');
@@ -174,7 +177,7 @@
         fleet.simulation.cut({ to: { machine: 'controller-0' } });
       },
     ],
-  ])('goes on with the next owner when one is %s', async (_, fail) => {
+  ])('continues with the next owner when the present one is %s', async (_, fail) => {
     const fleet = await QuotaFleet.start();
     const [, quota] = await fleet.startGateway('gateway-1', 87);
     const before = await fleet.sendAtRate(quota, 40, 6_000);
@@ -188,11 +191,11 @@
     expect(after.length).toBeGreaterThan(80);
   });
 
-  it('gets nothing from a leader that has not heard a quorum lately', async () => {
+  it('gets no tokens from a leader that has not heard from a quorum recently', async () => {
     const fleet = await QuotaFleet.start();
     const [, quota] = await fleet.startGateway('gateway-1', 1_000_000);
     expect(await fleet.take(quota)).toEqual({ isAdmitted: true });
-    // Shorter than the silence after which another one may be elected.
+    // Shorter than the election timeout, so that no other leader can have been elected yet.
     fleet.sinceQuorumMs = 750;
     expect(await fleet.take(quota)).toMatchObject({ isAdmitted: false });
     expect(fleet.servers[0]?.usage()).toBeUndefined();
@@ -201,7 +204,7 @@
     expect(await fleet.take(quota)).toEqual({ isAdmitted: true });
   });
 
-  it('begins almost empty in a new term, also at the same controller', async () => {
+  it('starts with an almost empty bucket in a new term, also at the same controller', async () => {
     const fleet = await QuotaFleet.start();
     const [, quota] = await fleet.startGateway('gateway-1', 1_000_000);
     await fleet.simulation.runFor(10_000);
@@ -213,7 +216,7 @@
     expect(admitted).toBeLessThanOrEqual(3);
   });
 
-  it('waits for the next owner with a request that came without one', async () => {
+  it('holds a request that arrives without an owner until the next owner is found', async () => {
     const fleet = await QuotaFleet.start();
     const [, quota] = await fleet.startGateway('gateway-1', 1_000_000);
     fleet.controllers[0]?.crash();
@@ -226,7 +229,7 @@
     expect(await fleet.simulation.settle(decision)).toEqual({ isAdmitted: true });
   });
 
-  it('refuses a request that waits for an owner by the time that its caller needs an answer', async () => {
+  it('refuses a request that waits for an owner by its deadline', async () => {
     const fleet = await QuotaFleet.start();
     const [, quota] = await fleet.startGateway('gateway-1', 1_000_000);
     fleet.controllers[0]?.crash();
@@ -241,18 +244,18 @@
     expect(fleet.simulation.now - now).toBeLessThanOrEqual(500);
   });
 
-  it('refuses with a time to come back while no owner is found for long', async () => {
+  it('refuses requests at once with a retry time when no owner was found for long', async () => {
     const fleet = await QuotaFleet.start();
     fleet.leader = undefined;
     const [, quota] = await fleet.startGateway('gateway-1', 1_000_000);
     await fleet.simulation.runFor(5_000);
     const decision = quota.client.take(TENANT);
     if (decision instanceof Promise || decision.isAdmitted)
-      return expect.fail('not refused at once');
+      return expect.fail('expected a refusal at once');
     expect(decision.retryAfterMs).toBeGreaterThan(0);
   });
 
-  it('gives a gateway that starts again no more than the limit', async () => {
+  it('admits no more than the limit at a gateway that restarts', async () => {
     const fleet = await QuotaFleet.start();
     const [machine, quota] = await fleet.startGateway('gateway-1', 8);
     const before = await fleet.sendAtRate(quota, 80, 6_000);
@@ -262,7 +265,7 @@
     expect(after.length).toBeGreaterThan(40);
   });
 
-  it('asks nothing while no tenant has a limit', async () => {
+  it('contacts no controller while no tenant has a limit', async () => {
     const fleet = await QuotaFleet.start();
     const { environment } = fleet.simulation.createMachine('gateway-1', 'a');
     const quota = new GatewayQuota({
@@ -271,7 +274,7 @@
       settings: SETTINGS,
       telemetry: { logger: SILENT_LOGGER, registry: new Registry() },
       countGateways: () => 1,
-      controllers: () => expect.fail('a controller was looked for'),
+      controllers: () => expect.fail('expected no search for a controller'),
     });
     const free = { ...TENANT, requestsPerSecond: 0 };
     quota.setTenants(new TenantDirectory([free]));
@@ -280,7 +283,7 @@
   });
 });
 
-describe('frames that cannot be read', () => {
+describe('malformed frames', () => {
   const target = (fleet: QuotaFleet): Parameters<typeof dial>[2] => ({
     address: { host: fleet.controllers[0]?.host ?? '', port: PORT },
     role: 'quota',
@@ -299,12 +302,15 @@
   } as const;
 
   it.each([
-    ['no message', Uint8Array.of(255)],
-    ['no round', QUOTA_CODEC.encode(ask)],
-    ['another message', QUOTA_CODEC.encodeBatch([round, { kind: 'redirect', owner: '' }])],
-    ['a count below zero', QUOTA_CODEC.encodeBatch([round, { ...ask, returned: -5 }])],
-    ['a cut message', QUOTA_CODEC.encodeBatch([round, ask]).subarray(0, 6)],
-  ])('end the connection of a gateway: %s', async (_, frame) => {
+    ['not a message', Uint8Array.of(255)],
+    ['no round message', QUOTA_CODEC.encode(ask)],
+    [
+      'a message of another kind',
+      QUOTA_CODEC.encodeBatch([round, { kind: 'redirect', owner: '' }]),
+    ],
+    ['a negative count', QUOTA_CODEC.encodeBatch([round, { ...ask, returned: -5 }])],
+    ['a truncated message', QUOTA_CODEC.encodeBatch([round, ask]).subarray(0, 6)],
+  ])('close the connection of the gateway that sent them: %s', async (_, frame) => {
     const fleet = await QuotaFleet.start();
     const { environment } = fleet.simulation.createMachine('stranger', 'a');
     const identity = { ...IDENTITY, name: 'stranger' };
@@ -315,7 +321,7 @@
     expect(await fleet.take(quota)).toEqual({ isAdmitted: true });
   });
 
-  it('of an owner end its connection, and another is asked', async () => {
+  it('from an owner close its connection, and another controller is contacted', async () => {
     const fleet = await QuotaFleet.start();
     const liar = fleet.simulation.createMachine('liar', 'a');
     await fleet.simulation.settle(
--- a/test/tenants/quota-owner-changes.test.ts
+++ b/test/tenants/quota-owner-changes.test.ts
@@ -6,25 +6,26 @@
 
 const SETTINGS: QuotaSettings = { windowMs: 10_000, overrun: 0.1, slack: 0 };
 const START = 40_000;
-/** From the loss of an owner until the next one is found. Milliseconds. */
+/** Time from the loss of an owner until the next one is found. */
 const OWNERLESS_MS = 30;
-/** Requests that a busy gateway tries at first, and each millisecond: far beyond any limit here. */
+/** Requests to the busy gateway at the start and per millisecond: far above any limit in this test. */
 const INITIAL_REQUESTS = 400;
 const REQUESTS_PER_MS = 3;
-/** Requests that each quiet gateway tries just before an owner is lost. */
+/** Requests to each quiet gateway just before an owner is lost. */
 const QUIET_REQUESTS = 60;
 
 interface Fleet {
   readonly gateways: number;
   readonly requestsPerSecond: number;
   readonly burst: number;
-  /** Moments of the window at which another owner takes over. Milliseconds. */
+  /** Times within the window at which the owner changes, in milliseconds. */
   readonly changes: readonly number[];
 }
 
 /**
- * Requests that are passed on in one window in which one gateway drains the bucket, and the
- * others use what needs no owner just before each change, so that its debt is forgotten.
+ * Counts the requests admitted in one window in which one gateway empties the token bucket while the
+ * others use up their unconfirmed uses just before each change of owner, so that the next owner
+ * doesn't know of that debt.
  */
 async function countAdmitted({
   gateways,
@@ -54,7 +55,7 @@
     return client;
   });
   let passed = 0;
-  /** Whether it was decided at once. */
+  /** Sends a request; returns whether it was decided at once. */
   const ask = (client: QuotaClient): boolean => {
     const decision = client.take(tenant, now + 1);
     void Promise.resolve(decision).then(({ isAdmitted }) => (passed += isAdmitted ? 1 : 0));
@@ -85,7 +86,7 @@
     now = START + end + OWNERLESS_MS;
     owner.startOwnership();
     for (const client of clients) client.handleConnected();
-    // The new owner takes off the pressure that the one before told them.
+    // A response of the new owner lifts the pressure that the previous owner reported.
     for (const client of quiet) ask(client);
     for (const client of quiet) await exchange(client);
     from = end + OWNERLESS_MS;
@@ -93,7 +94,7 @@
   return passed;
 }
 
-describe('changes of the owner of limits', () => {
+describe('changes of the quota owner', () => {
   const fleets: readonly Fleet[] = [
     { gateways: 9, requestsPerSecond: 1_000, burst: 50, changes: [] },
     { gateways: 9, requestsPerSecond: 1_000, burst: 50, changes: [5_000] },
@@ -102,7 +103,7 @@
   ];
   for (const fleet of fleets) {
     const { gateways, requestsPerSecond, burst, changes } = fleet;
-    it(`keep ${gateways} gateways within ${requestsPerSecond} a second with ${changes.length} of them`, async () => {
+    it(`keep ${gateways} gateways within ${requestsPerSecond} requests per second when the owner changes ${changes.length} times in a window`, async () => {
       const limit = (requestsPerSecond * SETTINGS.windowMs) / 1_000 + burst;
       const allowed = limit * (1 + SETTINGS.overrun) + SETTINGS.slack;
       expect(await countAdmitted(fleet)).toBeLessThanOrEqual(allowed);
--- a/test/tenants/quota-owner.test.ts
+++ b/test/tenants/quota-owner.test.ts
@@ -1,18 +1,18 @@
-/** What the owner remembers of tenants. */
+/** Tests which accounts the quota owner keeps when tenants are removed from the route document. */
 import { expect, it } from 'vitest';
 import { QuotaOwner } from '../../src/tenants/quota-owner.js';
 import type { Tenant } from '../../src/tenants/tenant.js';
 import { SETTINGS } from './quota-replay.js';
 
 const TENANT: Tenant = { name: 'acme', requestsPerSecond: 10, burst: 100 };
-/** By then buckets that are not used any more are looked for. Milliseconds. */
+/** Time after which the owner searches for idle accounts. */
 const EVICTED_AFTER_MS = 60_000;
 
 function unused(): never {
   throw new Error('not used');
 }
 
-it('remembers what a tenant used that is taken out of the document and put back', () => {
+it('keeps the usage of a tenant that is removed from the document and added again', () => {
   let now = 0;
   const tenants = new Map([[TENANT.name, TENANT]]);
   const owner = new QuotaOwner({
--- a/test/tenants/quota-replay.test.ts
+++ b/test/tenants/quota-replay.test.ts
@@ -15,7 +15,7 @@
 const SIZES = [1, 8, 87];
 const SEEDS = [1, 2, 3, 4];
 
-/** A small tenant, a usual one and a large one. */
+/** Limits of small, medium and large tenants. */
 const LIMITS = [
   { requestsPerSecond: 0.5, burst: 2 },
   { requestsPerSecond: 4, burst: 0 },
@@ -44,7 +44,7 @@
   const cases = SIZES.flatMap((size) => LIMITS.map((limits) => ({ size, ...limits })));
 
   it.each(cases)(
-    'keeps $requestsPerSecond/s + $burst at $size gateways through a burst at eight times',
+    'enforces $requestsPerSecond/s + $burst at $size gateways under load at eight times the limit',
     async ({ size, requestsPerSecond, burst }) => {
       let windows = 0;
       for (const seed of SEEDS) {
@@ -62,7 +62,7 @@
   );
 
   it.each(cases)(
-    'admits what the limit allows: $requestsPerSecond/s + $burst at $size gateways',
+    'admits what the limit of $requestsPerSecond/s + $burst allows at $size gateways',
     async ({ size, requestsPerSecond, burst }) => {
       let [refused, beneath, admitted, allowed] = [0, 0, 0, 0];
       for (const seed of SEEDS) {
@@ -81,7 +81,7 @@
         expectWithinTolerance(replay, 'hot');
       }
       console.info(
-        `${size} gateways, ${requestsPerSecond}/s + ${burst}: refused beneath the limit ` +
+        `${size} gateways, ${requestsPerSecond}/s + ${burst}: refused below the limit ` +
           `${refused} of ${beneath}; admitted at five times ${(admitted / allowed).toFixed(3)}`,
       );
       expect(refused / beneath).toBeLessThan(0.001);
@@ -90,12 +90,12 @@
   );
 });
 
-describe('limits of tenants through faults', () => {
+describe('limits of tenants during faults', () => {
   const sizes = [8, 87];
   const limits = { requestsPerSecond: 20, burst: 10 };
   const small = { requestsPerSecond: 0.5, burst: 2 };
   const faults: Readonly<Record<string, (replay: QuotaReplay, owner: number) => void>> = {
-    'an owner is killed and another begins': (replay, owner) => {
+    'an owner is killed and another takes over': (replay, owner) => {
       replay.schedule(30_000, () => replay.stopOwner(owner));
       replay.schedule(31_500, () => replay.connectAll(replay.startOwner()));
     },
@@ -111,26 +111,26 @@
       });
       replay.schedule(30_100, () => replay.connectAll(owner + 1));
     },
-    'half of the gateways are cut off': (replay) => {
+    'half of the gateways lose the owner': (replay) => {
       replay.schedule(30_000, () => {
         for (let gateway = 0; gateway < replay.gatewayCount; gateway += 2)
           replay.disconnect(gateway);
       });
     },
-    'all gateways are cut off': (replay) => {
+    'all gateways lose the owner': (replay) => {
       replay.schedule(30_000, () => {
         for (let gateway = 0; gateway < replay.gatewayCount; gateway += 1)
           replay.disconnect(gateway);
       });
     },
-    'all processes start again': (replay) => {
+    'all gateways and the owner restart': (replay) => {
       replay.schedule(30_000, () => {
         for (let gateway = 0; gateway < replay.gatewayCount; gateway += 1)
           replay.startGateway(gateway);
       });
       replay.schedule(31_000, () => replay.connectAll(replay.startOwner()));
     },
-    'gateways come and go': (replay, owner) => {
+    'gateways restart continually': (replay, owner) => {
       for (let step = 0; step < 40; step += 1) {
         const gateway = (step * 7) % replay.gatewayCount;
         replay.schedule(30_000 + step * 250, () => replay.disconnect(gateway));
@@ -144,7 +144,7 @@
   );
 
   it.each(cases)(
-    'keeps $requestsPerSecond/s + $burst at $size gateways when $fault',
+    'enforces $requestsPerSecond/s + $burst at $size gateways when $fault',
     async ({ fault, size, requestsPerSecond, burst }) => {
       let ownerless = 0;
       for (const seed of [...SEEDS, 5, 6, 7, 8]) {
@@ -152,7 +152,7 @@
         replay.setLimit('one', requestsPerSecond, burst);
         replay.addPoissonLoad('one', requestsPerSecond * 0.5, 16 * SECOND, 30 * SECOND);
         replay.addPoissonLoad('one', requestsPerSecond * 8, 28 * SECOND, 50 * SECOND);
-        // At every gateway at the worst moments.
+        // One request at every gateway at the worst moments.
         for (const at of [30_001, 34_000, 36_000]) {
           for (let gateway = 0; gateway < size; gateway += 1) replay.request(at, 'one', gateway);
         }
@@ -163,12 +163,12 @@
           ({ path }) => path === QuotaDecisionPath.WithoutOwner,
         ).length;
       }
-      // Without such uses the bound would be kept by refusing everything.
-      if (fault === 'all gateways are cut off') expect(ownerless).toBeGreaterThan(0);
+      // Guards against staying within the tolerance merely by refusing every request.
+      if (fault === 'all gateways lose the owner') expect(ownerless).toBeGreaterThan(0);
     },
   );
 
-  it('binds a lowered limit one window later, and a raised one at once', async () => {
+  it('enforces a lowered limit after one window, and applies a raised limit at once', async () => {
     for (const seed of SEEDS) {
       const { replay } = startReplay(87, seed);
       replay.setLimit('one', 100, 50);
@@ -185,7 +185,7 @@
     }
   });
 
-  it('counts a request that ran nowhere as none, and keeps the limit', async () => {
+  it('does not count requests that ran nowhere, and enforces the limit on the others', async () => {
     for (const seed of SEEDS) {
       const { replay } = startReplay(87, seed);
       replay.setLimit('one', 20, 10);
@@ -199,10 +199,10 @@
   });
 });
 
-describe('limits of tenants on days of chance', () => {
+describe('limits of tenants under random load and faults', () => {
   const RUN_MS = 60_000;
 
-  /** Faults, load and tenants of a day follow from its seed. */
+  /** Schedules the tenants, load and faults that follow from the seed. */
   function planRandomFaults(replay: QuotaReplay, first: number, seed: number): void {
     const random = seededRandom(seed, 'day');
     const anyGateway = (): number => random.nextInteger(0, replay.gatewayCount - 1);
@@ -239,7 +239,7 @@
     }
   }
 
-  it('keeps every limit in more than ten thousand windows', async () => {
+  it('enforces every limit in more than ten thousand windows', async () => {
     let windows = 0;
     let over = 0;
     for (let seed = 1; seed <= 20; seed += 1) {
@@ -257,7 +257,7 @@
     expect(windows).toBeGreaterThan(10_000);
   });
 
-  it('keeps a limit at 1,100 gateways', async () => {
+  it('enforces every limit at 1,100 gateways', async () => {
     const { replay, owner } = startReplay(1_100, 1);
     planRandomFaults(replay, owner, 1);
     for (let gateway = 0; gateway < 1_100; gateway += 1)
@@ -268,7 +268,7 @@
 });
 
 describe('costs of the limits', () => {
-  it('refuses nothing more of others beside a tenant at eight times its limit', async () => {
+  it('refuses no more requests of other tenants while one tenant is at eight times its limit', async () => {
     const refusedOfOthers = async (seed: number, hotFactor: number): Promise<number> => {
       const { replay } = startReplay(87, seed);
       replay.setLimit('hot', 4, 4);
@@ -286,18 +286,18 @@
     }
   });
 
-  it('delays no request of a tenant beneath half its limit where each gateway has a share', async () => {
+  it('delays no request of a tenant below half its limit when each gateway has a share of a whole use', async () => {
     for (const seed of SEEDS) {
       const { replay } = startReplay(8, seed);
       replay.setLimit('one', 100, 50);
-      // A gateway that has just started does not know how many there are.
+      // A gateway that has just started doesn't know the number of gateways.
       replay.addPoissonLoad('one', 45, 16 * SECOND, 40 * SECOND);
       await replay.runUntil(45 * SECOND);
       expect(replay.outcomes.filter(({ waited }) => waited)).toEqual([]);
     }
   });
 
-  it('sends messages in proportion to requests at most', async () => {
+  it('sends at most a constant number of frames per request at any fleet size', async () => {
     const costs: number[] = [];
     for (const size of [8, 87, 1_100]) {
       const { replay } = startReplay(size, 1);
@@ -320,7 +320,10 @@
     for (const cost of costs) expect(cost).toBeLessThanOrEqual(2.1);
   });
 
-  /** A burst of one tenant, and what became of the refused callers that came back when told. */
+  /**
+   * Simulates a burst of one tenant; returns the decisions on the refused requests that are retried
+   * at their retry time.
+   */
   async function simulateRetries(): Promise<Outcome[]> {
     const { replay } = startReplay(87, 1);
     replay.setLimit('one', 10, 10);
@@ -352,7 +355,7 @@
     expect(late.length / waits.length).toBeLessThanOrEqual(0.01);
   });
 
-  it('tells refused callers different times', async () => {
+  it('gives refused callers different retry times', async () => {
     const returned = await simulateRetries();
     const times = returned.map(({ at }) => at).sort((left, right) => left - right);
     const together = times.map((end) => times.filter((at) => at > end - 200 && at <= end).length);
--- a/test/tenants/quota-replay.ts
+++ b/test/tenants/quota-replay.ts
@@ -1,4 +1,4 @@
-/** Gateways, owners and the messages between them in virtual time, without a network. */
+/** Simulates gateways, quota owners and the messages between them in virtual time, without a network. */
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
 import type { QuotaSettings } from '../../src/configuration/tenant-settings.js';
 import type { Clock } from '../../src/seams/clock.js';
@@ -16,13 +16,13 @@
 import { TokenBucket } from '../../src/tenants/token-bucket.js';
 
 export const SETTINGS: QuotaSettings = { windowMs: 5_000, overrun: 0.1, slack: 20 };
-/** Between gateways and owners, one way, at least and at most. Milliseconds. */
+/** One-way delay between gateways and owners: the minimum and the random part on top of it. */
 const MINIMUM_DELAY_MS = 0.4;
 const DELAY_SPREAD_MS = 1;
 const RESPONSE_TIMEOUT_MS = 600;
 const EXPIRY_INTERVAL_MS = 100;
 
-/** A request as it was decided. Times are milliseconds. */
+/** The decision on one request. Times are in milliseconds. */
 export interface Outcome {
   readonly tenant: string;
   readonly gateway: number;
@@ -40,7 +40,7 @@
   readonly run: () => void;
 }
 
-/** A binary heap by time, then by the order in which events were added. */
+/** A binary heap of events, ordered by time and then by insertion. */
 class EventQueue {
   private readonly heap: ScheduledEvent[] = [];
   private order = 0;
@@ -94,13 +94,13 @@
 interface ReplayGateway {
   client: QuotaClient;
   owner: number | undefined;
-  /** Number of the connection: what belongs to an earlier one is dropped. */
+  /** Incremented on each disconnect; responses of an earlier connection are dropped. */
   connectionNumber: number;
   isRoundInFlight: boolean;
   isExpiring: boolean;
 }
 
-/** See the module comment. */
+/** A fleet of gateways with one or more owners; deterministic for a seed. */
 export class QuotaReplay {
   readonly outcomes: Outcome[] = [];
   frames = 0;
@@ -115,7 +115,7 @@
   private lastPath: QuotaDecisionPath | undefined;
   private now = 0;
 
-  /** What gateways are told of their number. */
+  /** The number of gateways that controllers report to the gateways. */
   countGateways = (): number | undefined => this.gatewayCount;
 
   constructor(
@@ -125,18 +125,18 @@
   ) {
     this.random = seededRandom(seed, 'replay');
     const unused = (): never => {
-      throw new Error('decisions have no timers');
+      throw new Error('the quota client and owner must not use timers or the wall clock');
     };
     this.clock = { now: () => this.now, wallTime: unused, setTimer: unused, sleep: unused };
     for (let index = 0; index < gatewayCount; index += 1) this.startGateway(index);
   }
 
-  /** Puts a limit in force at all gateways and owners at once. */
+  /** Applies a limit at all gateways and owners at once. */
   setLimit(name: string, requestsPerSecond: number, burst: number): void {
     this.tenants.set(name, { name, requestsPerSecond, burst });
   }
 
-  /** A new owner; gateways are connected to it by {@link connect}. */
+  /** Creates an owner and returns its index; {@link connect} connects gateways to it. */
   startOwner(): number {
     const owner = new QuotaOwner({
       clock: this.clock,
@@ -147,12 +147,12 @@
     return this.owners.push(owner) - 1;
   }
 
-  /** Answers nothing any more; its gateways notice late. */
+  /** Stops an owner from responding; its gateways detect that by the response timeout. */
   stopOwner(owner: number): void {
     this.stopped.add(owner);
   }
 
-  /** (Re)starts the process of a gateway, without an owner. */
+  /** Starts or restarts the process of a gateway, without an owner. */
   startGateway(index: number): void {
     const gateway: ReplayGateway = {
       client: new QuotaClient({
@@ -192,12 +192,15 @@
     this.events.add(time, run);
   }
 
-  /** A request of the tenant. `runs`: false when it is given back after a while. */
+  /**
+   * Schedules a request. With `givenBackAfterMs` it runs nowhere, and its token is returned after
+   * that time.
+   */
   request(at: number, tenant: string, gateway: number, givenBackAfterMs?: number): void {
     this.events.add(at, () => this.take(tenant, gateway, givenBackAfterMs));
   }
 
-  /** Poisson arrivals, a second, at gateways that `pick` chooses. */
+  /** Schedules Poisson arrivals with a rate per second at gateways that `pick` chooses. */
   addPoissonLoad(
     tenant: string,
     perSecond: number,
@@ -219,7 +222,7 @@
       if (event === undefined) break;
       this.now = event.at;
       event.run();
-      // Decisions that promises bring are noted before time goes on.
+      // Lets promises settle, so that their decisions are recorded before time advances.
       await Promise.resolve();
       await Promise.resolve();
     }
@@ -261,7 +264,7 @@
 
   private handleRequestQueued(gateway: ReplayGateway): void {
     if (!gateway.isExpiring) this.scheduleExpiry(gateway);
-    // The link sends from a task of its own.
+    // The quota link sends asynchronously, in a task of its own.
     this.schedule(this.now, () => this.startRound(gateway));
   }
 
@@ -324,13 +327,16 @@
   }
 }
 
-/** What the rule allows in a window. */
+/** Requests that a limit allows in any window, including the tolerance. */
 export function allowedInWindow({ requestsPerSecond, burst }: Tenant, settings = SETTINGS): number {
   const { windowMs, overrun, slack } = settings;
   return ((requestsPerSecond * windowMs) / 1_000 + burst) * (1 + overrun) + slack;
 }
 
-/** The fullest window that ends with an admitted request, and the number of such windows. */
+/**
+ * The largest number of admitted requests in a window that ends with one, and the number of such
+ * windows.
+ */
 export function busiestWindow(
   outcomes: readonly Outcome[],
   tenant: string,
@@ -351,7 +357,7 @@
   return { most, windows: times.length };
 }
 
-/** Requests that the limit alone, kept in one place, admits. */
+/** Number of requests that a single token bucket with the exact limit admits. */
 export function admittedByLimit(outcomes: readonly Outcome[], tenant: Tenant): number {
   const bucket = exactBucket(tenant);
   const mine = outcomes.filter((outcome) => outcome.tenant === tenant.name);
@@ -359,8 +365,8 @@
 }
 
 /**
- * Refused requests for which the limit, charged with everything of the tenant that was admitted,
- * still had a token: those lay beneath it.
+ * Number of wrongly refused requests: those for which a token bucket with the exact limit, charged
+ * with every admitted request of the tenant, still had a token.
  */
 export function refusedBelowLimit(outcomes: readonly Outcome[], tenant: Tenant): number {
   const bucket = exactBucket(tenant);
--- a/test/tenants/revocation-fleet.ts
+++ b/test/tenants/revocation-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Two gateways over a group of controllers, callers with API keys at both, and an operator who
- * takes one key after the other away.
+ * Simulates two gateways with a group of controllers, callers with API keys at both gateways, and an
+ * operator who revokes one key after the other.
  */
 import { expect } from 'vitest';
 import type { ExchangeReplica } from '../../lab/exchange/exchange-replica.js';
@@ -29,20 +29,20 @@
 export interface SentRequest {
   readonly key: string;
   readonly machine: SimulatedMachine;
-  /** Time of the simulation. Milliseconds. */
+  /** Simulation time in milliseconds. */
   readonly sentAt: number;
   status?: number;
 }
 
-/** See the module comment. */
+/** Records every request and revocation, so that violations of the bound can be found afterwards. */
 export class RevocationFleet {
-  /** By request id. */
+  /** Requests by request id. */
   readonly sent = new Map<string, SentRequest>();
-  /** By key, when the document that took it away was first acknowledged. Time of the simulation. */
+  /** Simulation time at which the document that revoked the key was first acknowledged, by key. */
   readonly revokedAt = new Map<string, number>();
   private readonly keys = Array.from({ length: KEYS }, (_, index) => `key-${index}`);
   private version = 0;
-  /** Taken away last, or next. */
+  /** The key that was revoked last, or the first one while none is. */
   private latestKey = this.keys[0] ?? '';
 
   private constructor(
@@ -71,7 +71,10 @@
     return [this.harness.machine, ...this.harness.others.map(({ machine }) => machine)];
   }
 
-  /** Requests that a replica ran although they were sent too long after their key was revoked. */
+  /**
+   * Requests that a replica ran although they were sent more than the bound after the revocation of
+   * their key.
+   */
   get violations(): readonly SentRequest[] {
     return this.replica.runs.flatMap(({ requestId }) => {
       const request = this.sent.get(requestId);
@@ -81,7 +84,7 @@
     });
   }
 
-  /** Puts the next version of the routes, with all keys that are left. */
+  /** Puts the next version of the route document, with all keys that aren't revoked. */
   async putDocument(hasTenants = true): Promise<void> {
     const document = this.nextDocument(hasTenants);
     const put = this.harness.group.putRoutes(this.harness.group.machineAt(0), document);
@@ -89,21 +92,21 @@
     await this.simulation.runFor(PROPAGATION_MS);
   }
 
-  /** Takes the next key away, at whichever controller acknowledges it first. Not waited for. */
+  /** Revokes the next key through all controllers until one acknowledges it. Doesn't wait for that. */
   revoke(): void {
     const key = this.keys.shift();
-    if (key === undefined) throw new Error('no keys are left');
+    if (key === undefined) throw new Error('expected a key to revoke, but all keys are revoked');
     this.latestKey = key;
     const document = this.nextDocument(true);
     for (const controller of this.controllers) void this.repeatPut(controller, key, document);
   }
 
-  /** Calls both gateways again and again, until the simulation ends. */
+  /** Sends requests to both gateways periodically until the simulation ends. */
   startCallers(): void {
     for (const machine of this.gateways) void this.call(machine);
   }
 
-  /** One request; fails where the gateway cannot be reached. */
+  /** Sends one request; rejects when the gateway can't be reached. */
   async send(
     machine: SimulatedMachine,
     key: string,
@@ -124,7 +127,7 @@
     return response;
   }
 
-  /** Cuts a gateway and one controller off from the other controllers. */
+  /** Partitions a gateway together with one controller from the other controllers. */
   isolateWith(gateway: SimulatedMachine, index: number): void {
     const near = this.controllers[index % this.controllers.length];
     for (const controller of this.controllers) {
@@ -134,14 +137,14 @@
     }
   }
 
-  /** Cuts a controller off from the others. */
+  /** Partitions a controller from the other controllers. */
   isolateFromGroup(controller: SimulatedMachine): void {
     for (const other of this.controllers) {
       if (other !== controller) this.cut(controller, other);
     }
   }
 
-  /** Cuts a gateway off from all controllers. */
+  /** Partitions a gateway from all controllers. */
   isolate(gateway: SimulatedMachine): void {
     for (const controller of this.controllers) this.cut(gateway, controller);
   }
@@ -151,7 +154,10 @@
     this.simulation.cut({ from: { machine: right.name }, to: { machine: left.name } });
   }
 
-  /** As operators do where no controller answers, as while a leader is cut off from the others. */
+  /**
+   * Repeats the request until a controller acknowledges the document, as operators do while no
+   * leader is reachable.
+   */
   private async repeatPut(
     controller: SimulatedMachine,
     key: string,
@@ -169,7 +175,7 @@
       const { status } = await this.harness.group.send(controller, 'PUT', '/v1/routes', document);
       if (status === 200 && !this.revokedAt.has(key)) this.revokedAt.set(key, this.simulation.now);
     } catch {
-      // Lost on the way: another controller acknowledges it.
+      // The request was lost; another controller acknowledges the document.
     }
   }
 
--- a/test/tenants/revocation.test.ts
+++ b/test/tenants/revocation.test.ts
@@ -6,18 +6,20 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
 const ROUNDS = 5;
-/** Longest freeze, and longest part of a cut before a key is taken away. Milliseconds. */
+/** Maximum duration of a freeze, and maximum time between a fault and the revocation of a key. */
 const MAXIMUM_FREEZE_MS = 8_000;
 const MAXIMUM_DELAY_MS = 2_000;
-/** In which everything recovers from a fault. Milliseconds. */
+/** Time in which the fleet recovers from a fault. */
 const RECOVERY_MS = 6_000;
-/** Far past the end of every lease. Milliseconds. */
+/** Longer than any lease. */
 const PAST_LEASES_MS = 2 * BOUND_MS;
 
 type Fault = (fleet: RevocationFleet, random: RandomSource) => void | Promise<void>;
 
 function pick<T>(items: readonly T[], random: RandomSource): T {
-  return items[random.nextInteger(0, items.length - 1)] ?? expect.fail('nothing to pick from');
+  return (
+    items[random.nextInteger(0, items.length - 1)] ?? expect.fail('cannot pick from an empty list')
+  );
 }
 
 const FAULTS: readonly Fault[] = [
@@ -53,8 +55,8 @@
   await fleet.simulation.runFor(RECOVERY_MS);
 }
 
-describe('a key that was taken away', () => {
-  it.each(SEEDS)('runs nowhere past the bound, seed %i', async (seed) => {
+describe('a revoked key', () => {
+  it.each(SEEDS)('runs no request after the bound under random faults, seed %i', async (seed) => {
     const random = seededRandom(seed, 'faults');
     const fleet = await RevocationFleet.start(seed);
     fleet.startCallers();
@@ -66,7 +68,7 @@
   });
 
   it.each([0, 1, 2])(
-    'runs nowhere while controller %i is cut off with the gateway',
+    'runs no request after the bound while controller %i is partitioned together with the gateway',
     async (index) => {
       const fleet = await RevocationFleet.start(7);
       fleet.startCallers();
@@ -78,7 +80,7 @@
     },
   );
 
-  it('runs on where controllers confirm by what they believe', async () => {
+  it('keeps running requests when controllers confirm from local state, which shows that the check detects it', async () => {
     const found: number[] = [];
     for (const index of [0, 1, 2]) {
       const controlFaults = { skipFreshnessProof: true };
@@ -92,7 +94,7 @@
     expect(Math.min(...found)).toBeGreaterThan(0);
   });
 
-  it('runs on at a gateway that is cut off where no bound is set', async () => {
+  it('keeps running requests at a partitioned gateway when no bound is set', async () => {
     const fleet = await RevocationFleet.start(7, { tenants: {} });
     fleet.startCallers();
     fleet.isolate(fleet.harness.machine);
@@ -108,7 +110,10 @@
   readonly end: (fleet: RevocationFleet, controller: SimulatedMachine) => Promise<void> | void;
 }
 
-/** What each controller suffers in turn, so that the leader and each gateway's first one do. */
+/**
+ * Faults applied to each controller in turn, so that they affect the leader and the first
+ * controller of each gateway.
+ */
 const LOSSES: readonly Loss[] = [
   {
     loss: 'loses its power',
@@ -116,7 +121,7 @@
     end: (fleet, controller) => fleet.harness.group.restart(controller, true),
   },
   {
-    loss: 'is cut off from the others, not from the gateways',
+    loss: 'is partitioned from the other controllers but not from the gateways',
     begin: (fleet, controller) => fleet.isolateFromGroup(controller),
     end: (fleet) => fleet.simulation.healAll(),
   },
@@ -127,7 +132,7 @@
   },
 ];
 
-describe('a key that is kept', () => {
+describe('a key that is not revoked', () => {
   it.each(LOSSES)(
     'is never refused while each controller in turn $loss',
     async ({ begin, end }) => {
@@ -148,7 +153,7 @@
     },
   );
 
-  it('is served at a gateway that is cut off for most of the bound, then refused', async () => {
+  it('is accepted for most of the bound at a partitioned gateway, then refused until the partition heals', async () => {
     const fleet = await RevocationFleet.start(7);
     const { machine } = fleet.harness;
     fleet.isolate(machine);
@@ -174,7 +179,7 @@
   });
 });
 
-/** Questions that controllers have answered. */
+/** Number of confirmation requests that the controllers have answered. */
 async function countConfirmations(fleet: RevocationFleet): Promise<number> {
   const name = 'driftway_controller_version_confirmations_total';
   const readings = fleet.controllers.map(async (machine) => {
@@ -184,7 +189,7 @@
   return (await Promise.all(readings)).reduce((sum, count) => sum + count, 0);
 }
 
-it('nothing is confirmed for a document without tenants', async () => {
+it('a gateway sends no confirmation requests for a document without tenants', async () => {
   const fleet = await RevocationFleet.start(7);
   await fleet.putDocument(false);
   const before = await countConfirmations(fleet);
--- a/test/tenants/usage-endpoint.test.ts
+++ b/test/tenants/usage-endpoint.test.ts
@@ -2,7 +2,7 @@
 import type { TenantUsageList } from '../../src/administration/response-schemas.js';
 import { ControllerGroup } from '../control/controller-group.js';
 
-it('usage is told by the controller that leads, and others name it', async () => {
+it('the leading controller reports tenant usage, and the others name the leader in their refusal', async () => {
   const group = await ControllerGroup.start();
   const answers: unknown[] = [];
   for (const host of group.hosts) {
