--- a/test/tenants/lease-keeper.test.ts
+++ b/test/tenants/lease-keeper.test.ts
@@ -189,12 +189,12 @@
 
   it('confirmation requests count the unanswered ones before them, so that another controller is tried', () => {
     const parts = createKeeper(3);
-    const asks: ConfirmationRequest[] = [];
+    const requests: ConfirmationRequest[] = [];
     for (let count = 0; count < 3; count += 1) {
-      asks.push(parts.keeper.beginRequest());
+      requests.push(parts.keeper.beginRequest());
       parts.clock.advance(parts.keeper.requestDueInMs);
     }
-    expect(asks.map(({ unanswered }) => unanswered)).toEqual([0, 1, 2]);
+    expect(requests.map(({ unanswered }) => unanswered)).toEqual([0, 1, 2]);
     expect(parts.clock.now()).toBe(0.3 * BOUND_MS);
     renew(parts, 3, 5);
     expect(parts.keeper.beginRequest().unanswered).toBe(0);
--- a/test/tenants/quota-designs.test.ts
+++ b/test/tenants/quota-designs.test.ts
@@ -54,22 +54,26 @@
 
 interface Measurements {
   readonly exceedsLimit: boolean;
-  readonly refusedBeneath: number;
-  readonly waited: number;
+  readonly refusedBelowLimitFraction: number;
+  readonly waitedFraction: number;
 }
 
 function measure(replay: QuotaReplay, tenant: Tenant, design: string): Measurements {
   const { most } = busiestWindow(replay.outcomes, tenant.name);
   const allowed = allowedInWindow(tenant);
   const steady = replay.outcomes.filter(({ at }) => at < 60_000);
-  const beneath = admittedByLimit(steady, tenant);
+  const admittedByExactLimit = admittedByLimit(steady, tenant);
   const refused = refusedBelowLimit(steady, tenant);
-  const waited = steady.filter((outcome) => outcome.waited).length / steady.length;
+  const waitedFraction = steady.filter((outcome) => outcome.waited).length / steady.length;
   console.info(
     `${design}, ${tenant.name}: ${most} of ${allowed.toFixed(0)} allowed in a window, ` +
-      `refused below the limit ${refused} of ${beneath}, waited ${waited.toFixed(2)}`,
+      `refused below the limit ${refused} of ${admittedByExactLimit}, waited ${waitedFraction.toFixed(2)}`,
   );
-  return { exceedsLimit: most > allowed, refusedBeneath: refused / beneath, waited };
+  return {
+    exceedsLimit: most > allowed,
+    refusedBelowLimitFraction: refused / admittedByExactLimit,
+    waitedFraction,
+  };
 }
 
 describe.each(TENANTS)('designs for a $name tenant', (tenant) => {
@@ -78,7 +82,7 @@
     await simulate(replay, tenant);
     const figures = measure(replay, tenant, 'built');
     expect(figures.exceedsLimit).toBe(false);
-    expect(figures.refusedBeneath).toBeLessThan(0.001);
+    expect(figures.refusedBelowLimitFraction).toBeLessThan(0.001);
   });
 
   it.each(SEEDS)(
@@ -98,7 +102,7 @@
       replay.countGateways = () => computeQuotaBounds(tenant, SETTINGS).maximumUnconfirmed;
       await simulate(replay, tenant);
       const figures = measure(replay, tenant, 'one unconfirmed each');
-      expect(figures.waited).toBeLessThan(0.1);
+      expect(figures.waitedFraction).toBeLessThan(0.1);
       // The reason against this design.
       if (tenant.name === 'small') expect(figures.exceedsLimit).toBe(true);
     },
@@ -108,6 +112,6 @@
     const replay = new QuotaReplay(GATEWAYS, seed);
     await simulate(replay, tenant);
     divideEqually(replay, tenant);
-    expect(measure(replay, tenant, 'equal shares').refusedBeneath).toBeGreaterThan(0.1);
+    expect(measure(replay, tenant, 'equal shares').refusedBelowLimitFraction).toBeGreaterThan(0.1);
   });
 });
--- a/test/tenants/quota-link.test.ts
+++ b/test/tenants/quota-link.test.ts
@@ -91,10 +91,10 @@
     const admitted: number[] = [];
     const end = this.simulation.now + milliseconds;
     while (this.simulation.now < end) {
-      const note = ({ isAdmitted }: QuotaDecision): void => {
+      const recordAdmitted = ({ isAdmitted }: QuotaDecision): void => {
         if (isAdmitted) admitted.push(this.simulation.now);
       };
-      void Promise.resolve(quota.client.take(TENANT)).then(note);
+      void Promise.resolve(quota.client.take(TENANT)).then(recordAdmitted);
       await this.simulation.runFor(1_000 / perSecond);
     }
     return admitted;
@@ -290,7 +290,7 @@
     connectTimeout: 500,
   });
   const round = { kind: 'round', round: 1 } as const;
-  const ask = {
+  const tokenRequest = {
     kind: 'ask',
     tenant: 'one',
     spent: 0,
@@ -303,13 +303,13 @@
 
   it.each([
     ['not a message', Uint8Array.of(255)],
-    ['no round message', QUOTA_CODEC.encode(ask)],
+    ['no round message', QUOTA_CODEC.encode(tokenRequest)],
     [
       'a message of another kind',
       QUOTA_CODEC.encodeBatch([round, { kind: 'redirect', owner: '' }]),
     ],
-    ['a negative count', QUOTA_CODEC.encodeBatch([round, { ...ask, returned: -5 }])],
-    ['a truncated message', QUOTA_CODEC.encodeBatch([round, ask]).subarray(0, 6)],
+    ['a negative count', QUOTA_CODEC.encodeBatch([round, { ...tokenRequest, returned: -5 }])],
+    ['a truncated message', QUOTA_CODEC.encodeBatch([round, tokenRequest]).subarray(0, 6)],
   ])('close the connection of the gateway that sent them: %s', async (_, frame) => {
     const fleet = await QuotaFleet.start();
     const { environment } = fleet.simulation.createMachine('stranger', 'a');
@@ -323,11 +323,11 @@
 
   it('from an owner close its connection, and another controller is contacted', async () => {
     const fleet = await QuotaFleet.start();
-    const liar = fleet.simulation.createMachine('liar', 'a');
+    const malformedOwner = fleet.simulation.createMachine('liar', 'a');
     await fleet.simulation.settle(
       AuthenticatedListener.listen(
-        liar.environment,
-        { host: liar.host, port: PORT },
+        malformedOwner.environment,
+        { host: malformedOwner.host, port: PORT },
         { ...IDENTITY, name: 'liar' },
         {
           quota: async (connection) => {
@@ -339,7 +339,7 @@
         new Registry(),
       ),
     );
-    fleet.controllers.unshift(liar);
+    fleet.controllers.unshift(malformedOwner);
     fleet.leader = 1;
     const [, quota] = await fleet.startGateway('gateway-1');
     await fleet.simulation.runFor(2_000);
--- a/test/tenants/quota-owner-changes.test.ts
+++ b/test/tenants/quota-owner-changes.test.ts
@@ -56,14 +56,14 @@
   });
   let passed = 0;
   /** Sends a request; returns whether it was decided at once. */
-  const ask = (client: QuotaClient): boolean => {
+  const sendRequest = (client: QuotaClient): boolean => {
     const decision = client.take(tenant, now + 1);
     void Promise.resolve(decision).then(({ isAdmitted }) => (passed += isAdmitted ? 1 : 0));
     return !(decision instanceof Promise);
   };
   const exchange = async (client: QuotaClient): Promise<void> => {
-    for (const answer of client.takeRequests().map((one) => owner.handleRequest(one))) {
-      client.handleResponse(answer);
+    for (const response of client.takeRequests().map((request) => owner.handleRequest(request))) {
+      client.handleResponse(response);
     }
     client.endRound();
     for (let turn = 0; turn < 4; turn += 1) await Promise.resolve();
@@ -74,12 +74,12 @@
     for (let at = from; at < end; at += 1) {
       now = START + at;
       for (let tries = 0; tries < (at === 0 ? INITIAL_REQUESTS : REQUESTS_PER_MS); tries += 1)
-        ask(busy);
+        sendRequest(busy);
       await exchange(busy);
     }
     now = START + end - 0.5;
     for (const client of quiet) {
-      for (let tries = 0; tries < QUIET_REQUESTS && ask(client); tries += 1);
+      for (let tries = 0; tries < QUIET_REQUESTS && sendRequest(client); tries += 1);
     }
     for (const client of quiet) await exchange(client);
     for (const client of clients) client.handleDisconnected();
@@ -87,7 +87,7 @@
     owner.startOwnership();
     for (const client of clients) client.handleConnected();
     // A response of the new owner lifts the pressure that the previous owner reported.
-    for (const client of quiet) ask(client);
+    for (const client of quiet) sendRequest(client);
     for (const client of quiet) await exchange(client);
     from = end + OWNERLESS_MS;
   }
--- a/test/tenants/quota-replay.test.ts
+++ b/test/tenants/quota-replay.test.ts
@@ -64,7 +64,7 @@
   it.each(cases)(
     'admits what the limit of $requestsPerSecond/s + $burst allows at $size gateways',
     async ({ size, requestsPerSecond, burst }) => {
-      let [refused, beneath, admitted, allowed] = [0, 0, 0, 0];
+      let [refused, admittedByExactLimit, admitted, allowed] = [0, 0, 0, 0];
       for (const seed of SEEDS) {
         const { replay } = startReplay(size, seed);
         replay.setLimit('one', requestsPerSecond, burst);
@@ -74,7 +74,7 @@
         replay.addPoissonLoad('hot', requestsPerSecond * 5, 10 * SECOND, 10 * SECOND + span);
         await replay.runUntil(20 * SECOND + span);
         refused += refusedBelowLimit(replay.outcomes, tenantOf(replay, 'one'));
-        beneath += admittedByLimit(replay.outcomes, tenantOf(replay, 'one'));
+        admittedByExactLimit += admittedByLimit(replay.outcomes, tenantOf(replay, 'one'));
         const hot = replay.outcomes.filter(({ tenant }) => tenant === 'hot');
         allowed += admittedByLimit(hot, tenantOf(replay, 'hot'));
         admitted += hot.filter(({ isAdmitted }) => isAdmitted).length;
@@ -82,9 +82,9 @@
       }
       console.info(
         `${size} gateways, ${requestsPerSecond}/s + ${burst}: refused below the limit ` +
-          `${refused} of ${beneath}; admitted at five times ${(admitted / allowed).toFixed(3)}`,
+          `${refused} of ${admittedByExactLimit}; admitted at five times ${(admitted / allowed).toFixed(3)}`,
       );
-      expect(refused / beneath).toBeLessThan(0.001);
+      expect(refused / admittedByExactLimit).toBeLessThan(0.001);
       expect(admitted / allowed).toBeGreaterThanOrEqual(0.97);
     },
   );
@@ -213,8 +213,9 @@
       replay.setLimit(name, rate, random.nextInteger(0, 2 * rate + 2));
       replay.addPoissonLoad(name, rate * 0.8, 0, RUN_MS);
       const hotAt = random.nextInteger(0, RUN_MS);
-      const few = [anyGateway(), anyGateway()];
-      const pick = index % 2 === 0 ? undefined : (): number => few[random.nextInteger(0, 1)] ?? 0;
+      const hotGateways = [anyGateway(), anyGateway()];
+      const pick =
+        index % 2 === 0 ? undefined : (): number => hotGateways[random.nextInteger(0, 1)] ?? 0;
       replay.addPoissonLoad(name, rate * 8, hotAt, hotAt + 8_000, pick);
     }
     for (let fault = 0; fault < 5; fault += 1) {
@@ -247,8 +248,8 @@
       planRandomFaults(replay, owner, seed);
       await replay.runUntil(RUN_MS + 20_000);
       for (const tenant of replay.tenants.values()) {
-        const { most, windows: looked } = busiestWindow(replay.outcomes, tenant.name);
-        windows += looked;
+        const { most, windows: windowsOfTenant } = busiestWindow(replay.outcomes, tenant.name);
+        windows += windowsOfTenant;
         if (most > allowedInWindow(tenant)) over += 1;
       }
     }
--- a/test/tenants/quota-replay.ts
+++ b/test/tenants/quota-replay.ts
@@ -278,15 +278,21 @@
   }
 
   private startRound(gateway: ReplayGateway): void {
-    const { owner, connectionNumber: epoch, client } = gateway;
+    const { owner, connectionNumber, client } = gateway;
     if (owner === undefined || gateway.isRoundInFlight || !client.hasRequests) return;
-    const asks = client.takeRequests();
-    if (asks.length === 0) return;
+    const requests = client.takeRequests();
+    if (requests.length === 0) return;
     gateway.isRoundInFlight = true;
-    this.countFrame(asks);
-    this.schedule(this.now + this.delay(), () => this.deliverRound(gateway, owner, epoch, asks));
+    this.countFrame(requests);
+    this.schedule(this.now + this.delay(), () =>
+      this.deliverRound(gateway, owner, connectionNumber, requests),
+    );
     this.schedule(this.now + RESPONSE_TIMEOUT_MS, () => {
-      if (gateway.connectionNumber === epoch && gateway.isRoundInFlight && this.stopped.has(owner))
+      if (
+        gateway.connectionNumber === connectionNumber &&
+        gateway.isRoundInFlight &&
+        this.stopped.has(owner)
+      )
         this.dropConnection(gateway);
     });
   }
@@ -294,17 +300,17 @@
   private deliverRound(
     gateway: ReplayGateway,
     owner: number,
-    epoch: number,
-    asks: readonly TokenRequestMessage[],
+    connectionNumber: number,
+    requests: readonly TokenRequestMessage[],
   ): void {
-    const granting = this.owners[owner];
-    if (this.stopped.has(owner) || granting === undefined) return;
-    const answers = asks.map((ask) => granting.handleRequest(ask));
-    this.countFrame(answers);
+    const respondingOwner = this.owners[owner];
+    if (this.stopped.has(owner) || respondingOwner === undefined) return;
+    const responses = requests.map((request) => respondingOwner.handleRequest(request));
+    this.countFrame(responses);
     this.schedule(this.now + this.delay(), () => {
-      if (gateway.connectionNumber !== epoch) return;
+      if (gateway.connectionNumber !== connectionNumber) return;
       gateway.isRoundInFlight = false;
-      for (const answer of answers) gateway.client.handleResponse(answer);
+      for (const response of responses) gateway.client.handleResponse(response);
       gateway.client.endRound();
       this.startRound(gateway);
     });
@@ -360,8 +366,8 @@
 /** Number of requests that a single token bucket with the exact limit admits. */
 export function admittedByLimit(outcomes: readonly Outcome[], tenant: Tenant): number {
   const bucket = exactBucket(tenant);
-  const mine = outcomes.filter((outcome) => outcome.tenant === tenant.name);
-  return mine.filter(({ at }) => bucket.take(1, 0, at) === 1).length;
+  const ofTenant = outcomes.filter((outcome) => outcome.tenant === tenant.name);
+  return ofTenant.filter(({ at }) => bucket.take(1, 0, at) === 1).length;
 }
 
 /**
@@ -370,11 +376,11 @@
  */
 export function refusedBelowLimit(outcomes: readonly Outcome[], tenant: Tenant): number {
   const bucket = exactBucket(tenant);
-  const mine = outcomes
+  const ofTenant = outcomes
     .filter((outcome) => outcome.tenant === tenant.name)
     .sort((left, right) => left.decidedAt - right.decidedAt);
   let refused = 0;
-  for (const { isAdmitted, decidedAt } of mine) {
+  for (const { isAdmitted, decidedAt } of ofTenant) {
     if (isAdmitted) bucket.charge(1, decidedAt);
     else if (bucket.msUntil(1, decidedAt) === 0) refused += 1;
   }
--- a/test/tenants/revocation.test.ts
+++ b/test/tenants/revocation.test.ts
@@ -81,7 +81,7 @@
   );
 
   it('keeps running requests when controllers confirm from local state, which shows that the check detects it', async () => {
-    const found: number[] = [];
+    const violationCounts: number[] = [];
     for (const index of [0, 1, 2]) {
       const controlFaults = { skipFreshnessProof: true };
       const fleet = await RevocationFleet.start(7, { controlFaults });
@@ -89,9 +89,9 @@
       fleet.isolateWith(fleet.harness.machine, index);
       fleet.revoke();
       await fleet.simulation.runFor(PAST_LEASES_MS);
-      found.push(fleet.violations.length);
+      violationCounts.push(fleet.violations.length);
     }
-    expect(Math.min(...found)).toBeGreaterThan(0);
+    expect(Math.min(...violationCounts)).toBeGreaterThan(0);
   });
 
   it('keeps running requests at a partitioned gateway when no bound is set', async () => {
