--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -61,7 +61,7 @@
   /** A table has come into force. */
   useTable(table: RouteTable): void {
     this.renewal?.setRouteTable(table);
-    this.limits?.setTenants(table.tenants);
+    this.limits?.connectIfLimited(table.tenants);
   }
 
   /** Renews the lease until stopped. */
--- a/src/tenants/fleet-size.ts
+++ b/src/tenants/fleet-size.ts
@@ -33,7 +33,7 @@
 
   /** Number of gateways; Infinity while it isn't known. */
   estimate(now: number): number {
-    const isDiscovered = now - this.startedAt >= DISCOVERY_MS;
-    return isDiscovered && this.size !== undefined ? this.size : Infinity;
+    const isDiscoveryComplete = now - this.startedAt >= DISCOVERY_MS;
+    return isDiscoveryComplete && this.size !== undefined ? this.size : Infinity;
   }
 }
--- a/src/tenants/gateway-quota.ts
+++ b/src/tenants/gateway-quota.ts
@@ -47,8 +47,11 @@
     });
   }
 
-  /** Applies the tenants of the route document in force; undefined when it has none. */
-  setTenants(directory: TenantDirectory | undefined): void {
+  /**
+   * Opens the connection to the quota owner once the route document in force limits a tenant. Call it
+   * with the tenants of each document; undefined when it has none.
+   */
+  connectIfLimited(directory: TenantDirectory | undefined): void {
     if (this.link !== undefined || this.isStopped || directory === undefined) return;
     if (![...directory.tenants].some(isLimited)) return;
     const { environment, identity, telemetry, controllers } = this.options;
--- a/src/tenants/lease-keeper.ts
+++ b/src/tenants/lease-keeper.ts
@@ -123,7 +123,7 @@
     if (needsKeys && !this.needsKeys) this.nextRequestAt = -Infinity;
     this.needsKeys = needsKeys;
     this.version = version;
-    const confirmed = this.pendingConfirmations.filter((awaited) => awaited.version <= version);
+    const confirmed = this.pendingConfirmations.filter((pending) => pending.version <= version);
     this.pendingConfirmations = this.pendingConfirmations.filter(
       (pending) => pending.version > version,
     );
@@ -135,8 +135,8 @@
    * request at once: after a network partition all gateways reconnect at the same time.
    */
   handleControllerConnected(): void {
-    const hasNeverRequested = this.leaseStartedAt === -Infinity && this.requestTimes.size === 0;
-    if (hasNeverRequested) this.nextRequestAt = -Infinity;
+    const hasJustStarted = this.leaseStartedAt === -Infinity && this.requestTimes.size === 0;
+    if (hasJustStarted) this.nextRequestAt = -Infinity;
   }
 
   /** Call before the request is sent, because the lease starts now. */
--- a/src/tenants/lease-renewal.ts
+++ b/src/tenants/lease-renewal.ts
@@ -13,7 +13,7 @@
   readonly clock: Clock;
   readonly keeper: LeaseKeeper;
   /** Sends a request to a controller; returns false when no controller is connected. */
-  readonly send: (ask: ConfirmationRequest) => boolean;
+  readonly send: (request: ConfirmationRequest) => boolean;
   readonly logger: Logger;
   readonly registry: Registry;
   readonly stopped: AbortSignal;
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -49,7 +49,7 @@
   readonly onDecision: (path: QuotaDecisionPath) => void;
 }
 
-/** The rate limiter of one gateway. Has no timers and no connection: its user calls it with both. */
+/** The rate limiter of one gateway. Has no timers and no connection of its own; the quota link drives it. */
 export class QuotaClient implements TenantQuota {
   private readonly allowances: AllowanceTable;
   private readonly unconfirmed: UnconfirmedUses;
--- a/src/tenants/quota-link.ts
+++ b/src/tenants/quota-link.ts
@@ -15,7 +15,7 @@
 import { QUOTA_CODEC, type QuotaMessage } from './quota-messages.js';
 import type { QuotaClientMetrics } from './quota-metrics.js';
 
-/** Timeout for opening a connection, for machines that are powered off and don't refuse connections. */
+/** Timeout for opening a connection; a machine that is powered off doesn't even refuse it. */
 const DIAL_TIMEOUT_MS = 300;
 /** Timeout for the response to a frame; allows for pauses of a busy owner. */
 const RESPONSE_TIMEOUT_MS = 600;
@@ -31,8 +31,8 @@
 /** Time for which a controller that didn't respond is avoided if another one is known. */
 const AVOIDANCE_MS = 1_500;
 /**
- * Redirects followed without a delay; bounded because two controllers could redirect to each other
- * forever.
+ * Redirects and reconnects without a delay; bounded because two controllers could redirect to each
+ * other forever.
  */
 const MAXIMUM_REDIRECTS = 2;
 
--- a/src/tenants/quota-server.ts
+++ b/src/tenants/quota-server.ts
@@ -170,7 +170,7 @@
 
   /**
    * Within one term no other controller can have granted tokens, so the accounts stay valid until
-   * the term changes.
+   * the term changes, even if this controller wasn't the owner for a while in between.
    */
   private startOwnershipIfNew(term: number): void {
     if (this.ownedTerm === term) return;
--- a/src/tenants/retry-after-schedule.ts
+++ b/src/tenants/retry-after-schedule.ts
@@ -3,7 +3,7 @@
  * tenant far above its limit.
  */
 
-/** Maximum retry time of a refused request, in windows. */
+/** Maximum retry time of a refused request, in windows, unless the next token is due later. */
 export const MAXIMUM_RETRY_AFTER_WINDOWS = 2;
 /** A retry time in the past would make the caller retry immediately. */
 const MINIMUM_RETRY_AFTER_MS = 1;
--- a/src/tenants/tenant-allowance.ts
+++ b/src/tenants/tenant-allowance.ts
@@ -36,7 +36,10 @@
   private returnedSince = -Infinity;
   /** Requests admitted without a token and not yet confirmed by an owner. */
   unconfirmed = 0;
-  /** Requests refused by local state, with and without an owner, and not yet reported to the owner. */
+  /**
+   * Requests that this gateway refused because the next token wasn't due, and because no owner decided
+   * in time; both not yet reported to the owner.
+   */
   refused = 0;
   refusedWithoutOwner = 0;
   waiting: WaitingRequest[] = [];
--- a/src/tenants/token-bucket.ts
+++ b/src/tenants/token-bucket.ts
@@ -35,7 +35,7 @@
     return this.tokens >= this.currentBounds.capacity && this.retriesReservedUntil <= now;
   }
 
-  /** Deducts requests that were admitted without a token; the level may become negative. */
+  /** Deducts requests that were admitted without a token; the number of tokens may become negative. */
   charge(tokens: number, now: number): void {
     this.refill(now);
     this.tokens -= tokens;
@@ -46,7 +46,7 @@
     this.tokens = Math.min(this.currentBounds.capacity, this.tokens + tokens);
   }
 
-  /** Takes at most `wanted` whole tokens, never leaving fewer than `reserve`; returns how many. */
+  /** Takes at most `wanted` whole tokens, but none of the last `reserve` tokens; returns how many. */
   take(wanted: number, reserve: number, now: number): number {
     this.refill(now);
     const taken = Math.max(0, Math.min(wanted, Math.floor(this.tokens - reserve)));
--- a/test/tenants/lease-keeper.test.ts
+++ b/test/tenants/lease-keeper.test.ts
@@ -176,7 +176,7 @@
     expect(parts.keeper.requestDueInMs).toBe(0);
   });
 
-  it('confirmation requests are spread by jitter', () => {
+  it('confirmation requests are spread by jitter over 0.15 to 0.2 of the bound', () => {
     const parts = createKeeper(3);
     const pauses = Array.from({ length: 200 }, () => {
       renew(parts, 3, 0);
--- a/test/tenants/lease-model.ts
+++ b/test/tenants/lease-model.ts
@@ -152,7 +152,7 @@
     if (this.now < this.cutUntil) return;
     const due = this.deliveries.filter(({ at }) => at <= this.now);
     this.deliveries = this.deliveries.filter(({ at }) => at > this.now);
-    for (const { run, incarnation: life } of due) if (life === this.incarnation) run();
+    for (const { run, incarnation } of due) if (incarnation === this.incarnation) run();
     this.recoverDocuments();
   }
 
--- a/test/tenants/quota-designs.test.ts
+++ b/test/tenants/quota-designs.test.ts
@@ -86,7 +86,7 @@
   });
 
   it.each(SEEDS)(
-    'a token request for every request stays within the tolerance, seed %i',
+    'a design without unconfirmed uses stays within the tolerance, seed %i',
     async (seed) => {
       const replay = new QuotaReplay(GATEWAYS, seed);
       replay.countGateways = () => undefined;
--- a/test/tenants/quota-link.test.ts
+++ b/test/tenants/quota-link.test.ts
@@ -71,7 +71,7 @@
       countGateways: () => gateways,
       controllers: () => this.controllers.map((_, index) => this.addressOf(index)),
     });
-    quota.setTenants(new TenantDirectory([TENANT]));
+    quota.connectIfLimited(new TenantDirectory([TENANT]));
     return quota;
   }
 
@@ -171,7 +171,7 @@
     ['without power', (fleet: QuotaFleet): void => fleet.controllers[0]?.crash({ power: true })],
     ['frozen', (fleet: QuotaFleet): void => fleet.controllers[0]?.freeze(20_000)],
     [
-      'cut off',
+      'isolated by a partition',
       (fleet: QuotaFleet): void => {
         fleet.simulation.cut({ from: { machine: 'controller-0' } });
         fleet.simulation.cut({ to: { machine: 'controller-0' } });
@@ -277,7 +277,7 @@
       controllers: () => expect.fail('expected no search for a controller'),
     });
     const free = { ...TENANT, requestsPerSecond: 0 };
-    quota.setTenants(new TenantDirectory([free]));
+    quota.connectIfLimited(new TenantDirectory([free]));
     expect(quota.client.take(free)).toEqual({ isAdmitted: true });
     await fleet.simulation.runFor(2_000);
   });
--- a/test/tenants/quota-replay.test.ts
+++ b/test/tenants/quota-replay.test.ts
@@ -287,7 +287,7 @@
     }
   });
 
-  it('delays no request of a tenant below half its limit when each gateway has a share of a whole use', async () => {
+  it('delays no request of a tenant below half its limit when the share of each gateway has room for whole uses', async () => {
     for (const seed of SEEDS) {
       const { replay } = startReplay(8, seed);
       replay.setLimit('one', 100, 50);
@@ -298,7 +298,7 @@
     }
   });
 
-  it('sends at most a constant number of frames per request at any fleet size', async () => {
+  it('sends at most 2.1 frames per request at 8 to 1,100 gateways', async () => {
     const costs: number[] = [];
     for (const size of [8, 87, 1_100]) {
       const { replay } = startReplay(size, 1);
--- a/test/tenants/revocation-fleet.ts
+++ b/test/tenants/revocation-fleet.ts
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Repeats the request until a controller acknowledges the document, as operators do while no
-   * leader is reachable.
+   * Repeats the request until a controller acknowledges the document, as operators do when a
+   * controller doesn't respond, for example while a leader is partitioned from the others.
    */
   private async repeatPut(
     controller: SimulatedMachine,
--- a/test/tenants/revocation.test.ts
+++ b/test/tenants/revocation.test.ts
@@ -8,7 +8,7 @@
 const ROUNDS = 5;
 /** Maximum duration of a freeze, and maximum time between a fault and the revocation of a key. */
 const MAXIMUM_FREEZE_MS = 8_000;
-const MAXIMUM_DELAY_MS = 2_000;
+const MAXIMUM_REVOCATION_DELAY_MS = 2_000;
 /** Time in which the fleet recovers from a fault. */
 const RECOVERY_MS = 6_000;
 /** Longer than any lease. */
@@ -48,7 +48,7 @@
 async function runRound(fleet: RevocationFleet, random: RandomSource): Promise<void> {
   await pick(FAULTS, random)(fleet, random);
   if (random.nextFloat() < 0.3) await pick(FAULTS, random)(fleet, random);
-  await fleet.simulation.runFor(random.nextFloat() * MAXIMUM_DELAY_MS);
+  await fleet.simulation.runFor(random.nextFloat() * MAXIMUM_REVOCATION_DELAY_MS);
   fleet.revoke();
   await fleet.simulation.runFor(PAST_LEASES_MS);
   fleet.simulation.healAll();
