--- a/src/tenants/lease-keeper.ts
+++ b/src/tenants/lease-keeper.ts
@@ -1,192 +1,207 @@
 /**
- * Decides when a gateway has a controller confirm that its route document is the newest, and
- * what an answer is worth. Made for fleets of a thousand gateways: each asks a few times in
- * the bound, and renewals are spread, so that gateways do not ask together for long.
+ * Decides when a gateway asks a controller to confirm that its route document is the newest, and
+ * how long each confirmation extends the authorization lease. Designed for fleets of a thousand
+ * gateways: each sends a few requests per revocation bound, and jitter spreads them, so that
+ * gateways that happen to send together soon stop doing so.
  *
- * A controller answers with the version that a quorum held after the question came. Documents
- * that were acknowledged before the question are of that version at most, so a table of it or
- * of a later one knows what they took away. Those that are acknowledged afterwards take keys
- * away after the question, and a lease that counts from it ends before their bound does.
+ * A controller responds with the version that a quorum held after the request arrived. Documents
+ * acknowledged before the request have at most that version, so a route table of that version or
+ * a later one includes their revocations. Documents acknowledged later revoke keys after the
+ * request, and a lease that starts at the request expires before the bound of those revocations.
  */
 import type { Clock } from '../seams/clock.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { AuthorizationLease } from './authorization-lease.js';
 
-/** Clocks of two machines may differ in rate by this part of the time. */
-const CLOCK_RATE_MARGIN = 0.01;
-/** Suspensions shorter than the boot clock can tell are not counted. Milliseconds. */
+/** Maximum difference between the clock rates of two machines, as a fraction. */
+const MAXIMUM_CLOCK_RATE_DIFFERENCE = 0.01;
+/** Covers suspensions of the machine that are too short for the boot clock to detect. */
 const CLOCK_RESOLUTION_MARGIN_MS = 50;
-/** Parts of the bound: from an ask to the next, and until an answer counts as missing. */
-const RENEWAL_PART = 0.2;
-const PATIENCE_PART = 0.1;
-/** Part of the time between two asks that chance takes away, so that gateways do not ask together. */
-const RENEWAL_JITTER = 0.25;
-/** Before the path to a controller is looked for again; jittered. Milliseconds. */
-const NO_PATH_PAUSE_MS = 100;
-/** In which an answer to an ask is expected. Milliseconds. */
-const EXPECTED_ANSWER_MS = 100;
-
-/** Defects that tests switch on to see their checks fail. */
+/** Fractions of the revocation bound: between two requests, and until a response counts as missing. */
+const RENEWAL_INTERVAL_FRACTION = 0.2;
+const RESPONSE_TIMEOUT_FRACTION = 0.1;
+/** Largest fraction by which an interval is randomly shortened, so that gateways don't send together. */
+const RENEWAL_JITTER_FRACTION = 0.25;
+/** Delay before the next request when no controller was connected; jittered. */
+const NO_CONTROLLER_RETRY_MS = 100;
+/** Time in which a controller is expected to respond to a request. */
+const EXPECTED_RESPONSE_MS = 100;
+
+/** Defects that tests inject to verify that their checks detect them. */
 export interface LeaseFaults {
-  /** The lease counts from when the answer came. */
-  readonly countFromAnswer?: boolean;
-  /** The lease is granted whatever version is in force here. */
+  /** The lease starts when the response arrives instead of when the request was sent. */
+  readonly countFromResponse?: boolean;
+  /** The lease is granted without comparing the confirmed version with the one in force. */
   readonly ignoreVersion?: boolean;
 }
 
-/** What a keeper works with. */
-export interface LeaseKeeperParts {
+/** Dependencies and settings of a {@link LeaseKeeper}. */
+export interface LeaseKeeperOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly random: Pick<RandomSource, 'nextFloat'>;
-  /** From the acknowledgement of a revocation until no gateway accepts the key. Milliseconds. */
+  /**
+   * Maximum time in milliseconds from the acknowledgement of a revocation until no gateway accepts
+   * the key.
+   */
   readonly boundMs: number;
   readonly faults?: LeaseFaults;
 }
 
-/** What became of an answer. */
+/** The effect of a controller's response on the lease. */
 export enum ConfirmationResult {
-  /** The lease holds for longer. */
+  /** The lease was extended. */
   Renewed = 'renewed',
-  /** The version that it names is not in force here yet; the lease is renewed when it is. */
+  /** The confirmed version isn't in force here yet; the lease is extended once it is. */
   DocumentMissing = 'document_missing',
-  /** It adds nothing: a later ask was answered, or too much time has passed. */
+  /** No effect: a later request was already answered, or the lease would have expired already. */
   Late = 'late',
 }
 
-/** A question to a controller. */
-export interface LeaseAsk {
+/** A request to a controller to confirm the version of the route document. */
+export interface ConfirmationRequest {
   readonly number: number;
-  /** Asks before it in a row that no answer came to; the ask goes to another controller then. */
+  /**
+   * Consecutive earlier requests without a response; if there are any, this one goes to another
+   * controller.
+   */
   readonly unanswered: number;
 }
 
-/** A version that was confirmed before it came into force here. */
-interface AwaitedVersion {
+/** A version that was confirmed before it came into force at this gateway. */
+interface PendingConfirmation {
   readonly version: number;
-  readonly startsAt: number;
+  readonly leaseStartsAt: number;
 }
 
-/** How long a lease lasts from its ask. Milliseconds. */
-export function leaseLengthMs(boundMs: number): number {
-  return boundMs * (1 - CLOCK_RATE_MARGIN) - CLOCK_RESOLUTION_MARGIN_MS;
+/** Duration of a lease from the sending of its request, in milliseconds. */
+export function leaseDurationMs(boundMs: number): number {
+  return boundMs * (1 - MAXIMUM_CLOCK_RATE_DIFFERENCE) - CLOCK_RESOLUTION_MARGIN_MS;
 }
 
-/** See the module comment. */
+/** The lease of one gateway and the schedule of its confirmation requests. Sends nothing itself. */
 export class LeaseKeeper implements AuthorizationLease {
-  private readonly lengthMs: number;
-  /** Clock readings of the asks that are not answered, by their number. */
-  private readonly asks = new Map<number, number>();
-  private awaited: readonly AwaitedVersion[] = [];
-  private lastNumber = 0;
-  private unanswered = 0;
-  private startsAt = -Infinity;
-  private nextAskAt = -Infinity;
+  private readonly durationMs: number;
+  /** Clock readings at which unanswered requests were sent, by request number. */
+  private readonly requestTimes = new Map<number, number>();
+  private pendingConfirmations: readonly PendingConfirmation[] = [];
+  private lastRequestNumber = 0;
+  private consecutiveUnanswered = 0;
+  private leaseStartedAt = -Infinity;
+  private nextRequestAt = -Infinity;
   private version = -Infinity;
-  /** Also before the first table, which may need keys. */
-  private isNeeded = true;
+  /** True before the first route table as well, because that one may need keys. */
+  private needsKeys = true;
 
-  constructor(private readonly parts: LeaseKeeperParts) {
-    this.lengthMs = leaseLengthMs(parts.boundMs);
+  constructor(private readonly options: LeaseKeeperOptions) {
+    this.durationMs = leaseDurationMs(options.boundMs);
   }
 
   get isHeld(): boolean {
-    return this.endsInMs > 0;
+    return this.expiresInMs > 0;
   }
 
   get retryAfterMs(): number {
-    const isFirstAskOut = this.unanswered === 1;
-    return isFirstAskOut ? EXPECTED_ANSWER_MS : this.askDueInMs + EXPECTED_ANSWER_MS;
+    const isFirstRequestInFlight = this.consecutiveUnanswered === 1;
+    return isFirstRequestInFlight
+      ? EXPECTED_RESPONSE_MS
+      : this.requestDueInMs + EXPECTED_RESPONSE_MS;
   }
 
-  /** Until the lease ends, unless it is renewed; 0 when it has. Milliseconds. */
-  get endsInMs(): number {
-    return Math.max(0, this.startsAt + this.lengthMs - this.parts.clock.now());
+  /** Milliseconds until the lease expires; 0 when it has. */
+  get expiresInMs(): number {
+    return Math.max(0, this.leaseStartedAt + this.durationMs - this.options.clock.now());
   }
 
-  /** Until the next ask; Infinity while keys are not needed. Milliseconds. */
-  get askDueInMs(): number {
-    if (!this.isNeeded) return Infinity;
-    return Math.max(0, this.nextAskAt - this.parts.clock.now());
+  /** Milliseconds until the next request is due; Infinity while no route needs keys. */
+  get requestDueInMs(): number {
+    if (!this.needsKeys) return Infinity;
+    return Math.max(0, this.nextRequestAt - this.options.clock.now());
   }
 
-  /** A table has come into force. */
-  useTable(version: number, needsKeys: boolean): void {
-    if (needsKeys && !this.isNeeded) this.nextAskAt = -Infinity;
-    this.isNeeded = needsKeys;
+  /** Records the route table that has come into force. */
+  setRouteTable(version: number, needsKeys: boolean): void {
+    if (needsKeys && !this.needsKeys) this.nextRequestAt = -Infinity;
+    this.needsKeys = needsKeys;
     this.version = version;
-    const ready = this.awaited.filter((awaited) => awaited.version <= version);
-    this.awaited = this.awaited.filter((awaited) => awaited.version > version);
-    for (const { startsAt } of ready) this.grant(startsAt);
+    const confirmed = this.pendingConfirmations.filter((pending) => pending.version <= version);
+    this.pendingConfirmations = this.pendingConfirmations.filter(
+      (pending) => pending.version > version,
+    );
+    for (const { leaseStartsAt } of confirmed) this.startLease(leaseStartsAt);
   }
 
   /**
-   * One more controller can be asked. Only who has just started asks at once: after a cut all
-   * find their controllers together.
+   * Records that another controller can be reached. Only a gateway that has just started sends a
+   * request at once: after a network partition all gateways reconnect at the same time.
    */
-  noteFollowed(): void {
-    const isYoung = this.startsAt === -Infinity && this.asks.size === 0;
-    if (isYoung) this.nextAskAt = -Infinity;
+  handleControllerConnected(): void {
+    const hasJustStarted = this.leaseStartedAt === -Infinity && this.requestTimes.size === 0;
+    if (hasJustStarted) this.nextRequestAt = -Infinity;
   }
 
-  /** Call before the ask is sent: the lease counts from now. */
-  beginAsk(): LeaseAsk {
-    const { unanswered } = this;
-    const now = this.parts.clock.now();
-    this.lastNumber += 1;
-    this.asks.set(this.lastNumber, now);
-    this.forgetOld(now);
-    this.unanswered += 1;
-    this.nextAskAt = now + this.parts.boundMs * PATIENCE_PART;
-    return { number: this.lastNumber, unanswered };
+  /** Call before the request is sent, because the lease starts now. */
+  beginRequest(): ConfirmationRequest {
+    const { consecutiveUnanswered: unanswered } = this;
+    const now = this.options.clock.now();
+    this.lastRequestNumber += 1;
+    this.requestTimes.set(this.lastRequestNumber, now);
+    this.discardExpired(now);
+    this.consecutiveUnanswered += 1;
+    this.nextRequestAt = now + this.options.boundMs * RESPONSE_TIMEOUT_FRACTION;
+    return { number: this.lastRequestNumber, unanswered };
   }
 
-  /** No controller could be sent the ask. */
-  noteUnsent({ number }: LeaseAsk): void {
-    const { clock, random } = this.parts;
-    this.asks.delete(number);
-    this.unanswered = 0;
-    this.nextAskAt = clock.now() + NO_PATH_PAUSE_MS * (0.5 + random.nextFloat() / 2);
+  /** Records that no controller was connected to send the request to. */
+  recordUnsent({ number }: ConfirmationRequest): void {
+    const { clock, random } = this.options;
+    this.requestTimes.delete(number);
+    this.consecutiveUnanswered = 0;
+    this.nextRequestAt = clock.now() + NO_CONTROLLER_RETRY_MS * (0.5 + random.nextFloat() / 2);
   }
 
-  /** A controller answered: `version` was in force when it had the question. */
-  takeAnswer(number: number, version: number): ConfirmationResult {
-    const askedAt = this.asks.get(number);
-    if (askedAt === undefined) return ConfirmationResult.Late;
-    this.forgetUntil(number);
-    this.unanswered = 0;
-    this.scheduleAfter(number, askedAt);
-    const { clock, faults } = this.parts;
-    const startsAt = faults?.countFromAnswer === true ? clock.now() : askedAt;
-    if (version <= this.version || faults?.ignoreVersion === true) return this.grant(startsAt);
-    this.awaited = [...this.awaited, { version, startsAt }];
+  /** Handles a controller's response: a quorum held `version` after the request arrived. */
+  handleConfirmation(number: number, version: number): ConfirmationResult {
+    const requestedAt = this.requestTimes.get(number);
+    if (requestedAt === undefined) return ConfirmationResult.Late;
+    this.discardRequestsUpTo(number);
+    this.consecutiveUnanswered = 0;
+    this.scheduleNextRequest(number, requestedAt);
+    const { clock, faults } = this.options;
+    const leaseStartsAt = faults?.countFromResponse === true ? clock.now() : requestedAt;
+    if (version <= this.version || faults?.ignoreVersion === true)
+      return this.startLease(leaseStartsAt);
+    this.pendingConfirmations = [...this.pendingConfirmations, { version, leaseStartsAt }];
     return ConfirmationResult.DocumentMissing;
   }
 
-  private grant(startsAt: number): ConfirmationResult {
-    const isLate = startsAt + this.lengthMs <= this.parts.clock.now();
-    if (isLate || startsAt <= this.startsAt) return ConfirmationResult.Late;
-    this.startsAt = startsAt;
+  private startLease(leaseStartsAt: number): ConfirmationResult {
+    const isLate = leaseStartsAt + this.durationMs <= this.options.clock.now();
+    if (isLate || leaseStartsAt <= this.leaseStartedAt) return ConfirmationResult.Late;
+    this.leaseStartedAt = leaseStartsAt;
     return ConfirmationResult.Renewed;
   }
 
-  /** A later ask that is on its way is waited for first. */
-  private scheduleAfter(number: number, askedAt: number): void {
-    if (number < this.lastNumber) return;
-    const interval = this.parts.boundMs * RENEWAL_PART;
-    this.nextAskAt = askedAt + interval * (1 - RENEWAL_JITTER * this.parts.random.nextFloat());
+  /** Keeps the present schedule while a later request is in flight. */
+  private scheduleNextRequest(number: number, requestedAt: number): void {
+    if (number < this.lastRequestNumber) return;
+    const interval = this.options.boundMs * RENEWAL_INTERVAL_FRACTION;
+    this.nextRequestAt =
+      requestedAt + interval * (1 - RENEWAL_JITTER_FRACTION * this.options.random.nextFloat());
   }
 
-  /** An answer to an earlier ask adds nothing to that of a later one. */
-  private forgetUntil(last: number): void {
-    for (const number of this.asks.keys()) {
-      if (number <= last) this.asks.delete(number);
+  /** Once a request is answered, responses to earlier ones can't extend the lease. */
+  private discardRequestsUpTo(last: number): void {
+    for (const number of this.requestTimes.keys()) {
+      if (number <= last) this.requestTimes.delete(number);
     }
   }
 
-  private forgetOld(now: number): void {
-    for (const [number, askedAt] of this.asks) {
-      if (askedAt + this.lengthMs <= now) this.asks.delete(number);
+  private discardExpired(now: number): void {
+    for (const [number, requestedAt] of this.requestTimes) {
+      if (requestedAt + this.durationMs <= now) this.requestTimes.delete(number);
     }
-    this.awaited = this.awaited.filter(({ startsAt }) => startsAt + this.lengthMs > now);
+    this.pendingConfirmations = this.pendingConfirmations.filter(
+      ({ leaseStartsAt }) => leaseStartsAt + this.durationMs > now,
+    );
   }
 }
--- a/src/tenants/tenant-usage.ts
+++ b/src/tenants/tenant-usage.ts
@@ -1,18 +1,18 @@
-/** How many requests of a tenant were admitted and refused over about the last window. */
+/** Counts the admitted and refused requests of a tenant over approximately the last window. */
 
-/** Requests. */
+/** Numbers of requests. */
 export interface UsageCounts {
   readonly admitted: number;
-  /** The limit was reached. */
+  /** Refused because the limit was reached. */
   readonly refused: number;
-  /** Nobody could be asked. */
+  /** Refused because no owner could be asked. */
   readonly refusedWithoutOwner: number;
 }
 
-/** The counts of a tenant that has sent nothing. */
-export const NOTHING_USED: UsageCounts = { admitted: 0, refused: 0, refusedWithoutOwner: 0 };
+/** The counts of a tenant that has sent no requests. */
+export const NO_USAGE: UsageCounts = { admitted: 0, refused: 0, refusedWithoutOwner: 0 };
 
-function sumOf(left: UsageCounts, right: UsageCounts): UsageCounts {
+function addCounts(left: UsageCounts, right: UsageCounts): UsageCounts {
   return {
     admitted: left.admitted + right.admitted,
     refused: left.refused + right.refused,
@@ -20,22 +20,22 @@
   };
 }
 
-/** See the module comment. Two halves are kept, of which the older one is dropped as a whole. */
+/** Keeps two half windows and drops the older one as a whole. Times are clock readings in milliseconds. */
 export class TenantUsage {
-  private current = NOTHING_USED;
-  private previous = NOTHING_USED;
-  private begunAt = -Infinity;
+  private current = NO_USAGE;
+  private previous = NO_USAGE;
+  private currentStartedAt = -Infinity;
 
   constructor(private readonly windowMs: number) {}
 
-  note(counts: UsageCounts, now: number): void {
-    this.beginHalfIfDue(now);
-    this.current = sumOf(this.current, counts);
+  record(counts: UsageCounts, now: number): void {
+    this.rotateIfDue(now);
+    this.current = addCounts(this.current, counts);
   }
 
   read(now: number): UsageCounts {
-    this.beginHalfIfDue(now);
-    return sumOf(this.previous, this.current);
+    this.rotateIfDue(now);
+    return addCounts(this.previous, this.current);
   }
 
   isEmpty(now: number): boolean {
@@ -43,12 +43,12 @@
     return admitted === 0 && refused === 0 && refusedWithoutOwner === 0;
   }
 
-  private beginHalfIfDue(now: number): void {
+  private rotateIfDue(now: number): void {
     const halfMs = this.windowMs / 2;
-    const age = now - this.begunAt;
-    if (age < halfMs) return;
-    this.previous = age < this.windowMs ? this.current : NOTHING_USED;
-    this.current = NOTHING_USED;
-    this.begunAt = now;
+    const ageMs = now - this.currentStartedAt;
+    if (ageMs < halfMs) return;
+    this.previous = ageMs < this.windowMs ? this.current : NO_USAGE;
+    this.current = NO_USAGE;
+    this.currentStartedAt = now;
   }
 }
--- a/test/tenants/quota-client.test.ts
+++ b/test/tenants/quota-client.test.ts
@@ -1,4 +1,4 @@
-/** Requests at a gateway whose time ends while the owner is asked. */
+/** Tests requests whose deadline passes while their token request is pending. */
 import { expect, it } from 'vitest';
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
 import { QuotaClient } from '../../src/tenants/quota-client.js';
@@ -13,37 +13,37 @@
   throw new Error('not used');
 }
 
-/** A client with an owner, which passes nothing on without a token. */
+/** A client with an owner that admits nothing without a token, because it doesn't know the fleet size. */
 function createClient(): QuotaClient {
   const client = new QuotaClient({
     clock: { now: () => 0, wallTime: unused, setTimer: unused, sleep: unused },
     random: seededRandom(1, 'quota-client'),
     settings: SETTINGS,
     countGateways: () => undefined,
-    onWanted: () => undefined,
+    onRequestQueued: () => undefined,
     onDecision: () => undefined,
   });
-  client.connected();
+  client.handleConnected();
   return client;
 }
 
-it('refuses a request whose time ends before the answer to its question', async () => {
+it('refuses a request whose deadline passes before the response to its token request', async () => {
   const client = createClient();
   const decision = client.take(TENANT, WAITS_MS) as Promise<QuotaDecision>;
-  expect(client.takeAsks()).toMatchObject([{ tenant: 'acme', waiting: 1 }]);
-  client.expire(EXPIRY_INTERVAL_MS);
+  expect(client.takeRequests()).toMatchObject([{ tenant: 'acme', waiting: 1 }]);
+  client.expireWaiting(EXPIRY_INTERVAL_MS);
   const times = { pressureMs: 0, nextTokenMs: 0, retryAfterMs: 0, retrySpacingMs: 0 };
-  client.takeAnswer({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
+  client.handleResponse({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
   expect(await decision).toMatchObject({ isAdmitted: false });
 });
 
-it('keeps a token that came too late for its request for the next one', async () => {
+it('keeps a token that arrives too late for its request and uses it for the next request', async () => {
   const client = createClient();
   const decision = client.take(TENANT, WAITS_MS);
-  client.takeAsks();
-  client.expire(EXPIRY_INTERVAL_MS);
+  client.takeRequests();
+  client.expireWaiting(EXPIRY_INTERVAL_MS);
   const times = { pressureMs: 0, nextTokenMs: 0, retryAfterMs: 0, retrySpacingMs: 0 };
-  client.takeAnswer({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
+  client.handleResponse({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
   await decision;
   expect(client.take(TENANT)).toEqual({ isAdmitted: true });
 });
--- a/test/tenants/revocation.test.ts
+++ b/test/tenants/revocation.test.ts
@@ -6,25 +6,27 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
 const ROUNDS = 5;
-/** Longest freeze, and longest part of a cut before a key is taken away. Milliseconds. */
-const LONGEST_FREEZE_MS = 8_000;
-const LONGEST_PAUSE_MS = 2_000;
-/** In which everything recovers from a fault. Milliseconds. */
+/** Maximum duration of a freeze, and maximum time between a fault and the revocation of a key. */
+const MAXIMUM_FREEZE_MS = 8_000;
+const MAXIMUM_REVOCATION_DELAY_MS = 2_000;
+/** Time in which the fleet recovers from a fault. */
 const RECOVERY_MS = 6_000;
-/** Far past the end of every lease. Milliseconds. */
-const PAST_MS = 2 * BOUND_MS;
+/** Longer than any lease. */
+const PAST_LEASES_MS = 2 * BOUND_MS;
 
 type Fault = (fleet: RevocationFleet, random: RandomSource) => void | Promise<void>;
 
 function pick<T>(items: readonly T[], random: RandomSource): T {
-  return items[random.nextInteger(0, items.length - 1)] ?? expect.fail('nothing to pick from');
+  return (
+    items[random.nextInteger(0, items.length - 1)] ?? expect.fail('cannot pick from an empty list')
+  );
 }
 
 const FAULTS: readonly Fault[] = [
   (fleet, random) => fleet.isolateWith(pick(fleet.gateways, random), random.nextInteger(0, 2)),
   (fleet) => fleet.gateways.forEach((gateway) => fleet.isolate(gateway)),
-  (fleet, random) => pick(fleet.gateways, random).freeze(random.nextFloat() * LONGEST_FREEZE_MS),
-  (fleet, random) => pick(fleet.controllers, random).freeze(random.nextFloat() * LONGEST_FREEZE_MS),
+  (fleet, random) => pick(fleet.gateways, random).freeze(random.nextFloat() * MAXIMUM_FREEZE_MS),
+  (fleet, random) => pick(fleet.controllers, random).freeze(random.nextFloat() * MAXIMUM_FREEZE_MS),
   (fleet, random) => {
     fleet.simulation.changeLink(
       { to: { machine: pick(fleet.gateways, random).name } },
@@ -43,22 +45,22 @@
   },
 ];
 
-async function playRound(fleet: RevocationFleet, random: RandomSource): Promise<void> {
+async function runRound(fleet: RevocationFleet, random: RandomSource): Promise<void> {
   await pick(FAULTS, random)(fleet, random);
   if (random.nextFloat() < 0.3) await pick(FAULTS, random)(fleet, random);
-  await fleet.simulation.runFor(random.nextFloat() * LONGEST_PAUSE_MS);
+  await fleet.simulation.runFor(random.nextFloat() * MAXIMUM_REVOCATION_DELAY_MS);
   fleet.revoke();
-  await fleet.simulation.runFor(PAST_MS);
+  await fleet.simulation.runFor(PAST_LEASES_MS);
   fleet.simulation.healAll();
   await fleet.simulation.runFor(RECOVERY_MS);
 }
 
-describe('a key that was taken away', () => {
-  it.each(SEEDS)('runs nowhere past the bound, seed %i', async (seed) => {
+describe('a revoked key', () => {
+  it.each(SEEDS)('runs no request after the bound under random faults, seed %i', async (seed) => {
     const random = seededRandom(seed, 'faults');
     const fleet = await RevocationFleet.start(seed);
     fleet.startCallers();
-    for (let round = 0; round < ROUNDS; round += 1) await playRound(fleet, random);
+    for (let round = 0; round < ROUNDS; round += 1) await runRound(fleet, random);
     expect(fleet.violations).toEqual([]);
     expect(fleet.revokedAt.size).toBe(ROUNDS);
     const answered = [...fleet.sent.values()].filter(({ status }) => status === 200);
@@ -66,38 +68,38 @@
   });
 
   it.each([0, 1, 2])(
-    'runs nowhere while controller %i is cut off with the gateway',
+    'runs no request after the bound while controller %i is partitioned together with the gateway',
     async (index) => {
       const fleet = await RevocationFleet.start(7);
       fleet.startCallers();
       fleet.isolateWith(fleet.harness.machine, index);
       fleet.revoke();
-      await fleet.simulation.runFor(PAST_MS);
+      await fleet.simulation.runFor(PAST_LEASES_MS);
       expect(fleet.revokedAt.size).toBe(1);
       expect(fleet.violations).toEqual([]);
     },
   );
 
-  it('runs on where controllers confirm by what they believe', async () => {
-    const found: number[] = [];
+  it('keeps running requests when controllers confirm from local state, which shows that the check detects it', async () => {
+    const violationCounts: number[] = [];
     for (const index of [0, 1, 2]) {
       const controlFaults = { skipFreshnessProof: true };
       const fleet = await RevocationFleet.start(7, { controlFaults });
       fleet.startCallers();
       fleet.isolateWith(fleet.harness.machine, index);
       fleet.revoke();
-      await fleet.simulation.runFor(PAST_MS);
-      found.push(fleet.violations.length);
+      await fleet.simulation.runFor(PAST_LEASES_MS);
+      violationCounts.push(fleet.violations.length);
     }
-    expect(Math.min(...found)).toBeGreaterThan(0);
+    expect(Math.min(...violationCounts)).toBeGreaterThan(0);
   });
 
-  it('runs on at a gateway that is cut off where no bound is set', async () => {
+  it('keeps running requests at a partitioned gateway when no bound is set', async () => {
     const fleet = await RevocationFleet.start(7, { tenants: {} });
     fleet.startCallers();
     fleet.isolate(fleet.harness.machine);
     fleet.revoke();
-    await fleet.simulation.runFor(PAST_MS);
+    await fleet.simulation.runFor(PAST_LEASES_MS);
     expect(fleet.violations.length).toBeGreaterThan(0);
   });
 });
@@ -108,7 +110,10 @@
   readonly end: (fleet: RevocationFleet, controller: SimulatedMachine) => Promise<void> | void;
 }
 
-/** What each controller suffers in turn, so that the leader and each gateway's first one do. */
+/**
+ * Faults applied to each controller in turn, so that they affect the leader and the first
+ * controller of each gateway.
+ */
 const LOSSES: readonly Loss[] = [
   {
     loss: 'loses its power',
@@ -116,18 +121,18 @@
     end: (fleet, controller) => fleet.harness.group.restart(controller, true),
   },
   {
-    loss: 'is cut off from the others, not from the gateways',
+    loss: 'is partitioned from the other controllers but not from the gateways',
     begin: (fleet, controller) => fleet.isolateFromGroup(controller),
     end: (fleet) => fleet.simulation.healAll(),
   },
   {
     loss: 'is frozen',
-    begin: (_fleet, controller) => controller.freeze(PAST_MS),
+    begin: (_fleet, controller) => controller.freeze(PAST_LEASES_MS),
     end: () => undefined,
   },
 ];
 
-describe('a key that is kept', () => {
+describe('a key that is not revoked', () => {
   it.each(LOSSES)(
     'is never refused while each controller in turn $loss',
     async ({ begin, end }) => {
@@ -135,7 +140,7 @@
       fleet.startCallers();
       for (const controller of fleet.controllers) {
         begin(fleet, controller);
-        await fleet.simulation.runFor(PAST_MS);
+        await fleet.simulation.runFor(PAST_LEASES_MS);
         await end(fleet, controller);
         await fleet.simulation.runFor(RECOVERY_MS);
       }
@@ -148,7 +153,7 @@
     },
   );
 
-  it('is served at a gateway that is cut off for most of the bound, then refused', async () => {
+  it('is accepted for most of the bound at a partitioned gateway, then refused until the partition heals', async () => {
     const fleet = await RevocationFleet.start(7);
     const { machine } = fleet.harness;
     fleet.isolate(machine);
@@ -174,8 +179,8 @@
   });
 });
 
-/** Questions that controllers have answered. */
-async function confirmations(fleet: RevocationFleet): Promise<number> {
+/** Number of confirmation requests that the controllers have answered. */
+async function countConfirmations(fleet: RevocationFleet): Promise<number> {
   const name = 'driftway_controller_version_confirmations_total';
   const readings = fleet.controllers.map(async (machine) => {
     const metric = await fleet.harness.group.registryOf(machine).getSingleMetric(name)?.get();
@@ -184,12 +189,12 @@
   return (await Promise.all(readings)).reduce((sum, count) => sum + count, 0);
 }
 
-it('nothing is confirmed for a document without tenants', async () => {
+it('a gateway sends no confirmation requests for a document without tenants', async () => {
   const fleet = await RevocationFleet.start(7);
   await fleet.putDocument(false);
-  const before = await confirmations(fleet);
+  const before = await countConfirmations(fleet);
   await fleet.harness.restartGateway();
-  await fleet.simulation.runFor(PAST_MS);
-  expect(await confirmations(fleet)).toBe(before);
+  await fleet.simulation.runFor(PAST_LEASES_MS);
+  expect(await countConfirmations(fleet)).toBe(before);
   expect(await fleet.harness.readyStatus()).toBe(200);
 });
