--- a/src/evacuations/evacuation-orders.ts
+++ b/src/evacuations/evacuation-orders.ts
@@ -54,9 +54,7 @@
     const outcome = decodeEvacuationOutcome(result);
     this.options.logger.info('evacuation ordered', { ...order, ...outcome });
     if (outcome.status === EvacuationOrderStatus.Refused) {
-      throw new EvacuationRefusedError(
-        'the register is full, as too many zones were evacuated before',
-      );
+      throw new EvacuationRefusedError('too many zones were evacuated before');
     }
     return outcome;
   }
--- a/src/policies/adaptive-admission-policy.ts
+++ b/src/policies/adaptive-admission-policy.ts
@@ -47,12 +47,11 @@
 
   admit(request: AdmissionRequest): Promise<AdmissionTicket | AdmissionRefusal> {
     const { signal, remaining, team } = request;
-    if (signal.aborted)
-      return Promise.resolve(this.refusal('caller disconnected before admission'));
-    if (remaining <= 0) return Promise.resolve(this.refusal('deadline passed before admission'));
+    if (signal.aborted) return Promise.resolve(this.refusal('caller is gone'));
+    if (remaining <= 0) return Promise.resolve(this.refusal('deadline has passed'));
     if (this.hasCapacity) return Promise.resolve(this.issueTicket());
     if (this.expectedWait(this.queue.countAhead(team)) > remaining * MAXIMUM_WAIT_FRACTION) {
-      return Promise.resolve(this.refusal('expected queue wait is too long for the deadline'));
+      return Promise.resolve(this.refusal('the queue is too long for the deadline'));
     }
     return this.enqueue(request);
   }
@@ -72,10 +71,9 @@
     signal,
   }: AdmissionRequest): ReturnType<AdmissionPolicy['admit']> {
     return new Promise((resolve) => {
-      const onAbort = (): void =>
-        waiter.settle(this.refusal('caller disconnected before admission'));
+      const onAbort = (): void => waiter.settle(this.refusal('caller is gone'));
       const timer: Timer = this.clock.setTimer(remaining * MAXIMUM_WAIT_FRACTION, () =>
-        waiter.settle(this.refusal('queue wait is too long for the deadline')),
+        waiter.settle(this.refusal('waited too long for the deadline')),
       );
       const waiter: Waiter = {
         settle: (outcome) => {
@@ -94,7 +92,7 @@
   /** Refuses the newest request of the team with the most waiting once the queue exceeds its limit. */
   private enforceQueueLimit(): void {
     if (this.queue.size <= this.options.queueLimit) return;
-    this.queue.removeNewestOfLongest()?.settle(this.refusal('admission queue is full'));
+    this.queue.removeNewestOfLongest()?.settle(this.refusal('queue is full'));
   }
 
   private issueTicket(): AdmissionTicket {
--- a/src/policies/bounded-admission-policy.ts
+++ b/src/policies/bounded-admission-policy.ts
@@ -39,21 +39,20 @@
   ) {}
 
   admit(request: AdmissionRequest): Promise<AdmissionTicket | AdmissionRefusal> {
-    if (request.signal.aborted)
-      return Promise.resolve(refusal('caller disconnected before admission'));
-    if (request.remaining <= 0) return Promise.resolve(refusal('deadline passed before admission'));
+    if (request.signal.aborted) return Promise.resolve(refusal('caller is gone'));
+    if (request.remaining <= 0) return Promise.resolve(refusal('deadline has passed'));
     if (this.inFlight < this.options.maximumInFlight) return Promise.resolve(this.issueTicket());
     if (this.waiters.size >= this.options.queueLimit) {
-      return Promise.resolve(refusal('admission queue is full'));
+      return Promise.resolve(refusal('queue is full'));
     }
     return this.enqueue(request);
   }
 
   private enqueue(request: AdmissionRequest): Promise<AdmissionTicket | AdmissionRefusal> {
     return new Promise((resolve) => {
-      const onAbort = (): void => waiter.settle(refusal('caller disconnected before admission'));
+      const onAbort = (): void => waiter.settle(refusal('caller is gone'));
       const timer: Timer = this.clock.setTimer(request.remaining, () =>
-        waiter.settle(refusal('deadline passed in the admission queue')),
+        waiter.settle(refusal('deadline passed in the queue')),
       );
       const waiter: Waiter = {
         settle: (outcome) => {
--- a/src/quarantine/quarantine-orders.ts
+++ b/src/quarantine/quarantine-orders.ts
@@ -17,7 +17,7 @@
 export class UnknownFingerprintError extends DriftwayError {
   constructor(fingerprint: string) {
     const labels = [ErrorLabel.NotRun, ErrorLabel.BadInput];
-    super(`no quarantine entry for request fingerprint "${fingerprint}"`, {
+    super(`no request "${fingerprint}" is known`, {
       step: 'lift quarantine',
       labels,
     });
--- a/src/routes/read-route-document.ts
+++ b/src/routes/read-route-document.ts
@@ -27,20 +27,19 @@
 
 function findTargetProblems(route: Route, path: string): string[] {
   const targets = [route.service, route.split, route.shards].filter((one) => one !== undefined);
-  if (targets.length !== 1) return [`${path}: expected exactly one of service, split and shards`];
+  if (targets.length !== 1) return [`${path}: name one of service, split and shards`];
   if (route.shards !== undefined && new Set(route.shards).size < route.shards.length) {
-    return [`${path}.shards: expected unique names, found a shard twice`];
+    return [`${path}.shards: a shard is named twice`];
   }
   if (route.split === undefined) return [];
   const total = route.split.reduce((sum, { weight }) => sum + weight, 0);
-  return total > 0 ? [] : [`${path}.split: expected weights with a sum above 0`];
+  return total > 0 ? [] : [`${path}.split: the weights sum to 0`];
 }
 
 function findDocumentProblems(document: RouteDocument): string[] {
   const problems: string[] = [];
   const services = new Set(document.services.map(({ name }) => name));
-  if (services.size < document.services.length)
-    problems.push('services: expected unique names, found a name twice');
+  if (services.size < document.services.length) problems.push('services: a name is used twice');
   const hostsAndPrefixes = new Set<string>();
   for (const [index, route] of document.routes.entries()) {
     const path = `routes.${index}`;
@@ -49,8 +48,7 @@
       if (!services.has(service)) problems.push(`${path}: there is no service "${service}"`);
     }
     const key = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-    if (hostsAndPrefixes.has(key))
-      problems.push(`${path}: another route has the same host and path prefix`);
+    if (hostsAndPrefixes.has(key)) problems.push(`${path}: another route has this host and prefix`);
     hostsAndPrefixes.add(key);
   }
   problems.push(...findTenantProblems(document.tenants ?? []));
@@ -66,8 +64,8 @@
 
 function parseJson(bytes: Uint8Array): unknown {
   if (bytes.length > MAXIMUM_ROUTE_DOCUMENT_BYTES) {
-    const limit = `expected at most ${MAXIMUM_ROUTE_DOCUMENT_BYTES}`;
-    throw new InvalidRouteDocumentError([`the document has ${bytes.length} bytes, ${limit}`]);
+    const limit = `at most ${MAXIMUM_ROUTE_DOCUMENT_BYTES}`;
+    throw new InvalidRouteDocumentError([`${bytes.length} bytes; ${limit}`]);
   }
   try {
     return JSON.parse(new TextDecoder('utf-8', { fatal: true }).decode(bytes)) as unknown;
--- a/src/routes/route-document.ts
+++ b/src/routes/route-document.ts
@@ -26,9 +26,7 @@
   name: z.string().max(255).default(''),
   host: nameSchema,
   /** Path prefix of the requests; begins and ends with a slash. */
-  pathPrefix: z
-    .string()
-    .regex(/^\/(?:.*\/)?$/, 'expected to begin and end with a slash, such as /ledger/'),
+  pathPrefix: z.string().regex(/^\/(?:.*\/)?$/, 'begin and end it with a slash, such as /ledger/'),
   execution: executionSchema.default('atMostOnce'),
   /** Longest time that a request may take; its caller may set less. Milliseconds. */
   timeoutMs: durationSchema,
--- a/src/routes/tenant-problems.ts
+++ b/src/routes/tenant-problems.ts
@@ -14,7 +14,7 @@
     const path = `tenants.${index}`;
     const otherPath = pathsByName.get(name);
     if (otherPath === undefined) pathsByName.set(name, path);
-    else problems.push(`${path}.name: ${otherPath} already has this name`);
+    else problems.push(`${path}.name: ${otherPath} has this name too`);
   }
   return problems;
 }
@@ -30,7 +30,7 @@
     const path = `${tenantPath}.keys.${keys.indexOf(key)}`;
     const otherPath = pathsByKey.get(key);
     if (otherPath === undefined) pathsByKey.set(key, path);
-    else problems.push(`${path}: expected a unique key, found the same key at ${otherPath}`);
+    else problems.push(`${path}: the same key as ${otherPath}`);
   }
   return problems;
 }
