--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -96,7 +96,7 @@
     const rest = Math.max(0, this.options.reportInMs - answerMargin.lag);
     const dueAt = clock.now() + rest;
     return clock.setTimer(rest, () => {
-      answerMargin.noteTimer(clock.now() - dueAt);
+      answerMargin.recordTimerLag(clock.now() - dueAt);
       this.passReport();
     });
   }
--- a/src/gateway/fan-out.ts
+++ b/src/gateway/fan-out.ts
@@ -121,7 +121,7 @@
 
   /** From here on an answer that is good enough is worth more than the wait for the rest. */
   private cutOff(dueAt: number): void {
-    this.context.answerMargin.noteTimer(this.context.environment.clock.now() - dueAt);
+    this.context.answerMargin.recordTimerLag(this.context.environment.clock.now() - dueAt);
     this.isPastCutOff = true;
     this.judge();
   }
--- a/src/gateway/forward-single.ts
+++ b/src/gateway/forward-single.ts
@@ -2,7 +2,7 @@
 import type { Timer } from '../seams/clock.js';
 import type { HttpResponse } from '../seams/http.js';
 import type { CallerRequest } from './caller-request.js';
-import { longestConnect, longestUnsent } from './connect-bounds.js';
+import { connectTimeout, sendTimeout } from './connect-timeouts.js';
 import { GatewayRefusal, refuse, refuseNotRun } from './gateway-answers.js';
 import type { GatewayContext } from './gateway-context.js';
 import { targetLatencyOf } from './route-latencies.js';
@@ -40,11 +40,11 @@
     this.race = new ReplicaRace(context, request, {
       service,
       latency: this.latency,
-      stake: 1,
+      valueShare: 1,
       isRepeat: false,
-      retryUntil: offeredBy,
-      leavesEndedReplicas: context.mechanisms.endedReplicas,
-      connectWithin: context.mechanisms.boundedConnecting ? this.connectWithin : undefined,
+      retryDeadline: offeredBy,
+      abortsOnReplacement: context.mechanisms.endedReplicas,
+      connectTimeout: context.mechanisms.boundedConnecting ? this.connectWithin : undefined,
       onEnd: this.onEnd,
     });
   }
@@ -65,7 +65,7 @@
     const { clock } = this.context.environment;
     this.timers = [
       clock.setTimer(this.targetLatency * UNOFFERED_PART, this.onUnoffered),
-      clock.setTimer(longestUnsent(this.targetLatency), this.onUnsent),
+      clock.setTimer(sendTimeout(this.targetLatency), this.onUnsent),
       clock.setTimer(this.latency.hedgeDelay, this.onLate),
       clock.setTimer(this.request.deadline - clock.now(), this.onDeadline),
     ];
@@ -74,7 +74,7 @@
   /** From when it could first be sent: what came before that is no fault of a replica. */
   private readonly connectWithin = (): number => {
     const elapsed = this.context.environment.clock.now() - this.startedAt;
-    return longestConnect(this.targetLatency, this.race.wasOffered ? undefined : elapsed);
+    return connectTimeout(this.targetLatency, this.race.wasSent ? undefined : elapsed);
   };
 
   private readonly onUnoffered = (): void => {
@@ -83,7 +83,7 @@
 
   private readonly onUnsent = (): void => {
     const isBounded = this.context.mechanisms.boundedConnecting;
-    if (isBounded && !this.race.wasOffered) this.giveUp('no connection to a replica in time');
+    if (isBounded && !this.race.wasSent) this.giveUp('no connection to a replica in time');
   };
 
   private readonly onLate = (): void => {
--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -7,7 +7,7 @@
 import type { Tenant } from '../tenants/tenant.js';
 import { authenticate, KEY_PROBLEM_REASONS, type KeyProblem } from './authentication.js';
 import type { CallerRequest } from './caller-request.js';
-import { longestUnsent } from './connect-bounds.js';
+import { sendTimeout } from './connect-timeouts.js';
 import { FanOut, type PlanSources } from './fan-out.js';
 import { endToEndHeaders } from './forwarded-headers.js';
 import { CALLER_GONE, forwardSingle } from './forward-single.js';
@@ -125,7 +125,7 @@
       });
     }
     const { receivedAt, route, signal } = callerRequest;
-    const taken = quota.take(tenant, receivedAt + longestUnsent(targetLatencyOf(route)));
+    const taken = quota.take(tenant, receivedAt + sendTimeout(targetLatencyOf(route)));
     const decision = taken instanceof Promise ? await taken : taken;
     if (!decision.isAdmitted) {
       const { retryAfterMs } = decision;
--- a/src/gateway/gateway-upkeep.ts
+++ b/src/gateway/gateway-upkeep.ts
@@ -42,7 +42,7 @@
       clock,
       random,
       targets: () => aggregation.firstAsked(),
-      isWorthIt: (service) => this.isAskedOften(service),
+      isWarmed: (service) => this.isAskedOften(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
       stopped,
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -92,9 +92,9 @@
         new ReplicaRace(this.context, this.request, {
           service,
           latency,
-          stake,
+          valueShare: stake,
           isRepeat,
-          retryUntil,
+          retryDeadline: retryUntil,
           maySendAgain,
           onEnd: (race) => this.take(race),
         }),
--- a/test/gateway/bounded-connecting.test.ts
+++ b/test/gateway/connect-timeouts.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { ReplicaBehaviour, type ExchangeReplica } from '../../lab/exchange/exchange-replica.js';
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
-import { longestConnect, longestUnsent } from '../../src/gateway/connect-bounds.js';
+import { connectTimeout, sendTimeout } from '../../src/gateway/connect-timeouts.js';
 import type { GatewayMechanisms } from '../../src/configuration/gateway-mechanisms.js';
 import { GatewayHarness } from './gateway-harness.js';
 
@@ -61,15 +61,15 @@
 
 describe('the bounds of opening connections', () => {
   it('leave time for another replica within the target, and none after half of it', () => {
-    expect(longestConnect(TARGET_MS, 0)).toBe(100);
-    expect(longestConnect(TARGET_MS, 450)).toBe(50);
-    expect(longestConnect(TARGET_MS, longestUnsent(TARGET_MS))).toBe(1);
-    expect(longestConnect(60, 0)).toBe(30);
+    expect(connectTimeout(TARGET_MS, 0)).toBe(100);
+    expect(connectTimeout(TARGET_MS, 450)).toBe(50);
+    expect(connectTimeout(TARGET_MS, sendTimeout(TARGET_MS))).toBe(1);
+    expect(connectTimeout(60, 0)).toBe(30);
   });
 
   it('leave a further sending as long however late it is', () => {
-    expect(longestConnect(TARGET_MS, undefined)).toBe(100);
-    expect(longestConnect(60, undefined)).toBe(50);
+    expect(connectTimeout(TARGET_MS, undefined)).toBe(100);
+    expect(connectTimeout(60, undefined)).toBe(50);
   });
 });
 
@@ -77,7 +77,7 @@
   it('goes to another one soon', async () => {
     const bounded = await timesBesideDropping({});
     const unbounded = await timesBesideDropping({ boundedConnecting: false });
-    const most = longestConnect(TARGET_MS, 0) + SLOW_MS + 20;
+    const most = connectTimeout(TARGET_MS, 0) + SLOW_MS + 20;
     expect(Math.max(...bounded)).toBeLessThan(most);
     expect(Math.max(...unbounded)).toBeGreaterThan(most + SLOW_MS / 2);
   });
@@ -89,7 +89,7 @@
     const sentAt = clock.now();
     const answer = await harness.call({ path: '/ledger/1', deadlineMs: DEADLINE_MS });
     expect(answer.status).toBe(503);
-    expect(clock.now() - sentAt).toBeLessThanOrEqual(longestUnsent(TARGET_MS) + 10);
+    expect(clock.now() - sentAt).toBeLessThanOrEqual(sendTimeout(TARGET_MS) + 10);
     for (const heal of heals) heal();
     await harness.simulation.runFor(DEADLINE_MS);
     expect(replicas.flatMap(({ runs }) => runs)).toEqual([]);
--- a/test/gateway/ended-replicas.test.ts
+++ b/test/gateway/replacement-signal.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { GatewayMechanisms } from '../../src/configuration/gateway-mechanisms.js';
-import { ReplicaEnd } from '../../src/gateway/replica-end.js';
+import { ReplacementSignal } from '../../src/gateway/replacement-signal.js';
 import { GatewayHarness, type TestRoute } from './gateway-harness.js';
 
 const ROUTE: TestRoute = {
@@ -64,14 +64,14 @@
 
 describe('the end of a replica', () => {
   it('is told once, and not to those that ceased to wait', () => {
-    const ending = new ReplicaEnd();
+    const ending = new ReplacementSignal();
     const told: string[] = [];
     const cancelled = (): void => void told.push('cancelled');
     ending.once(() => told.push('waiting'));
     ending.once(cancelled);
     ending.cancel(cancelled);
-    ending.note();
-    ending.note();
+    ending.emit();
+    ending.emit();
     expect(told).toEqual(['waiting']);
   });
 });
