--- a/src/gateway/answer-margin.ts
+++ b/src/gateway/answer-margin.ts
@@ -1,36 +1,35 @@
 /**
- * How long before a route's target a merged answer has to leave to arrive within it.
- * A process that is short of processor time runs its timers late, and reads a request
- * some time after it came; how late its timers ran lately stands for both.
+ * Computes how long before a route's target latency a merged answer is sent, so that it arrives in
+ * time. A process short of CPU time fires its timers late and reads requests late; recent timer lag
+ * is the estimate for both delays.
  */
 import { LatencyDigest } from '../policies/latency-digest.js';
 
 /**
- * The time that a request waits to be read, the merge and the way to the caller and back, as
- * most requests have them: of 12, 18 and 24 ms the middle one was best on days with slow
- * replicas, see docs/design/shifted-work.md. Milliseconds.
+ * Typical time for reading the request, merging, and the network round trip to the caller. With
+ * slow replicas, 12 and 24 ms gave worse results; see docs/design/shifted-work.md.
  */
 const FIXED_MARGIN_MS = 18;
-/** The margin is at most this part of the target. */
+/** Upper bound of the margin, as a share of the target latency. */
 const MAXIMUM_TARGET_SHARE = 0.3;
-/** Timers that are remembered: the load of a process changes within seconds. */
+/** Few samples are kept because the load of a process changes within seconds. */
 const LAG_WINDOW_SAMPLES = 60;
-/** An answer that is late is worth a tenth; a part that is left out a few hundredths. */
+/** High, because a late answer loses nine tenths of its value, a missing part a few hundredths. */
 const LAG_QUANTILE = 0.9;
 const REFRESH_INTERVAL_SAMPLES = 6;
 
-/** See the module comment. Milliseconds. */
+/** Margin of one gateway process. Durations are milliseconds. */
 export class AnswerMargin {
   private readonly lags = new LatencyDigest(LAG_WINDOW_SAMPLES);
   private sinceRefresh = 0;
   private timerLag = 0;
 
   constructor(
-    /** Whether the lateness of timers is added. */
+    /** Whether timer lag is added to the fixed margin. */
     private readonly learnsLag: boolean,
   ) {}
 
-  /** A timer ran `lag` after it was due. */
+  /** Records that a timer fired `lag` after it was due. */
   recordTimerLag(lag: number): void {
     if (!this.learnsLag) return;
     this.lags.addReply(Math.max(0, lag));
@@ -40,12 +39,12 @@
     this.timerLag = this.lags.quantile(LAG_QUANTILE);
   }
 
-  /** By how much timers run late here, in nine of ten cases at most. */
+  /** 90th percentile of recent timer lag; 0 until enough timers have fired. */
   get lag(): number {
     return this.timerLag;
   }
 
-  /** Longest time from a request until an answer that is good enough leaves. */
+  /** Time after a request's receipt at which an answer with sufficient coverage is sent. */
   cutOffDelay(targetLatency: number): number {
     return (
       targetLatency -
--- a/src/gateway/attempt-evidence.ts
+++ b/src/gateway/attempt-evidence.ts
@@ -1,7 +1,4 @@
-/**
- * What the end of an attempt says of the request: whether it may be what ends the replicas
- * that run it.
- */
+/** Reports ended attempts to the crash guard, which detects requests that crash their replicas. */
 import { lifeIdOf } from '../directory/replica-entry.js';
 import { HttpClientError } from '../errors/http-client-error.js';
 import { describeRequest } from '../quarantine/quarantine-entry.js';
@@ -12,7 +9,7 @@
 import type { GatewayContext } from './gateway-context.js';
 import type { ReplicaTarget } from './replica-target.js';
 
-/** A process that ended refuses connections at once; longer than a connection takes. Milliseconds. */
+/** Longer than a connection takes to open; an ended process refuses connections at once. */
 const CRASH_CHECK_TIMEOUT_MS = 500;
 const DEFAULT_HEALTH_PATH = '/health';
 
@@ -21,7 +18,7 @@
   readonly request: CallerRequest;
   readonly target: ReplicaTarget;
   readonly result: AttemptResult;
-  /** It was the only sending of a suspected request. */
+  /** Whether this attempt was a trial: the only attempt of a suspected request. */
   readonly isTrial: boolean;
 }
 
@@ -30,12 +27,12 @@
   return { fingerprint, description };
 }
 
-/** Takes in an attempt that has ended, also when its answer was not wanted any more. */
+/** Records an ended attempt, including one that was cancelled. */
 export function recordCrashEvidence(context: GatewayContext, attempt: EndedAttempt): void {
   const { crashGuard, environment, targets } = context;
   const { request, target, result, isTrial } = attempt;
   const replicaId = lifeIdOf(target.entry);
-  // One that has said that it leaves ends on purpose.
+  // A replica that announced its departure closes connections on purpose.
   if (isConnectionLost(result) && targets.isRegistered(target)) {
     crashGuard.noteReplicaLost(replicaId);
     if (isTrial) void finishLostTrial(context, attempt);
@@ -55,14 +52,14 @@
   crashGuard.endTrial(request.fingerprint, trialResult);
 }
 
-/** A connection that was reset under a trial counts against the request only when the replica has ended. */
+/** Counts a connection lost during a trial against the request only if the replica has ended. */
 async function finishLostTrial(
   context: GatewayContext,
   { request, target }: EndedAttempt,
 ): Promise<void> {
   const { crashGuard, targets } = context;
   const isRefusing = await refusesConnections(context, request, target);
-  // Its supervisor may have started it again already, as another replica at the same address.
+  // A supervisor may already have restarted it, as another replica at the same address.
   const hasEnded = isRefusing || target.successor !== undefined;
   const hasLeft = !targets.isRegistered(target);
   if (!hasLeft) crashGuard.noteEnded(describeWatched(request), lifeIdOf(target.entry), hasEnded);
--- a/src/gateway/attempt-observer.ts
+++ b/src/gateway/attempt-observer.ts
@@ -1,4 +1,4 @@
-/** What the end of an attempt says of its replica, of its service's latency, and of the load. */
+/** Updates replica, latency and load statistics when an attempt ends. */
 import type { Route } from '../routes/route-document.js';
 import type { AttemptRecord } from './attempt-record.js';
 import { NotRunReason, type NotRunAttempt } from './attempt-result.js';
@@ -7,10 +7,12 @@
 import type { ReplicaTarget } from './replica-target.js';
 import type { RouteLatency } from './route-latency.js';
 
-/** Reports below this are taken as this, so that none makes a replica seem endlessly slow. */
+/**
+ * Lower bound of a reported work factor, so that no report makes a replica look arbitrarily slow.
+ */
 const MINIMUM_WORK_FACTOR = 0.2;
 
-/** Takes in an attempt that has ended; nothing while it is in flight. */
+/** Records an ended attempt; does nothing while the attempt is in flight. */
 export function observeAttempt(
   context: GatewayContext,
   route: Route,
@@ -43,7 +45,10 @@
   }
 }
 
-/** What the replica said with this answer of the time that work took: not a property of the replica. */
+/**
+ * Work factor reported with this answer, which is divided out because it doesn't describe the
+ * replica.
+ */
 function reportedWorkFactor(
   { mechanisms }: GatewayContext,
   { load }: ReplicaTarget,
@@ -66,7 +71,7 @@
   if (reason === NotRunReason.WrongReplica) targets.markReplaced(target);
 }
 
-/** Only what was said in answer to this sending. */
+/** Records the replica's load report if it arrived with the answer to this attempt. */
 function recordLoad(
   { shedding }: GatewayContext,
   { shards = [] }: Route,
--- a/src/gateway/attempt-record.ts
+++ b/src/gateway/attempt-record.ts
@@ -1,39 +1,44 @@
-/** What one sending to a replica went by and what became of it, for the decision log. */
+/** Records the inputs, times and result of one attempt for the decision log. */
 import type { LogFields } from '../observability/logger.js';
 import type { AttemptResult } from './attempt-result.js';
 import type { ReplicaTarget } from './replica-target.js';
 
-/** What was known of the replica when it was chosen. */
+/** State of the replica when it was chosen. Every field is a key of the decision log. */
 export interface ChoiceInputs {
   readonly replicaId: string;
-  /** Registration of the replica that was known, by its sequence. */
+  /** Sequence number of the registration in use. */
   readonly sequence: number;
-  /** Known only from a controller's disk, not from its own heartbeat. */
+  /**
+   * Whether the registration comes only from a controller's stored data, without a heartbeat since.
+   */
   readonly restored: boolean;
-  /** Expected time over the usual time. */
+  /** Expected latency divided by the median latency. */
   readonly slowness: number;
-  /** Attempts in flight from here, this one not counted. */
+  /** Attempts in flight from this gateway, excluding this one. */
   readonly inFlight: number;
-  /** Requests at the replica as it last said; undefined when it never did. */
+  /** Requests running or queued at the replica by its last load report; undefined without one. */
   readonly reported: number | undefined;
-  /** Age of that word. Milliseconds. */
+  /** Age of that load report. Milliseconds. */
   readonly reportedAgeMs: number | undefined;
 }
 
-/** One sending. */
+/** One attempt. Times are clock readings in milliseconds. */
 export interface AttemptRecord {
   readonly inputs: ChoiceInputs;
   readonly sentAt: number;
-  /** When it was written to a connection, and from when the replica may run it; undefined before. */
+  /**
+   * When the request was written to a connection; the replica may run it from then on. Undefined
+   * before.
+   */
   connectedAt: number | undefined;
-  /** Undefined while it is in flight. */
+  /** Undefined while the attempt is in flight. */
   endedAt: number | undefined;
   result: AttemptResult | undefined;
 }
 
 const SLOWNESS_PRECISION = 10;
 
-/** What decides a choice of `target` now. */
+/** Returns the current state of `target`, to record it with a choice. */
 export function choiceInputs(target: ReplicaTarget, now: number): ChoiceInputs {
   const { entry, load, inFlight } = target;
   return {
@@ -47,7 +52,7 @@
   };
 }
 
-/** What became of an attempt, in a word or two. */
+/** Formats a result for the log field `result`. */
 export function describeResult(result: AttemptResult | undefined): string {
   if (result === undefined) return 'in flight';
   switch (result.kind) {
@@ -61,7 +66,7 @@
   }
 }
 
-/** As the log shows it; times count from `receivedAt`. */
+/** Returns the log fields of an attempt; `sentAtMs` counts from `receivedAt`. */
 export function attemptFields(record: AttemptRecord, receivedAt: number): LogFields {
   const { inputs, sentAt, connectedAt, endedAt, result } = record;
   return {
--- a/src/gateway/attempt-result.ts
+++ b/src/gateway/attempt-result.ts
@@ -1,45 +1,45 @@
-/** What became of one sending of a request to one replica. */
+/** Results of one attempt: one request sent once to one replica. */
 import type { HttpHeaders } from '../seams/http.js';
 
-/** A whole answer that belongs to the request. */
+/** A complete answer that names the request. */
 export interface ReplicaAnswer {
   readonly status: number;
-  /** Names in lower case, those of the connection left out. */
+  /** Lower-case names; hop-by-hop headers are left out. */
   readonly headers: HttpHeaders;
   readonly body: Uint8Array;
 }
 
-/** The replica ran the request and answered with a success. */
+/** The replica ran the request and answered with a 2xx status. */
 export interface AnsweredAttempt {
   readonly kind: 'answered';
   readonly answer: ReplicaAnswer;
 }
 
-/** The replica ran the request, or says so, and answered with a failure of its own. */
+/** The replica ran the request, as far as its answer tells, and answered with another status. */
 export interface FailedAnswerAttempt {
   readonly kind: 'failedAnswer';
   readonly answer: ReplicaAnswer;
 }
 
-/** Certainly not run: the replica said so, or no byte reached it. */
+/** The request certainly did not run: the replica reported so, or the request was never sent. */
 export interface NotRunAttempt {
   readonly kind: 'notRun';
   readonly reason: NotRunReason;
 }
 
-/** Nothing usable came back; the request may have run. */
+/** No usable answer arrived; the request may have run. */
 export interface BrokenAttempt {
   readonly kind: 'broken';
   readonly reason: string;
 }
 
-/** Reasons of a {@link BrokenAttempt} whose connection ended before the answer was whole. */
+/** Reasons of a {@link BrokenAttempt} whose connection ended before the answer was complete. */
 const CONNECTION_ENDED: ReadonlySet<string> = new Set(['connection_lost', 'response_truncated']);
 
-/** Reason of a {@link BrokenAttempt} whose replica's address another one has. */
+/** Reason of a {@link BrokenAttempt} whose replica was replaced at its address. */
 export const REPLICA_ENDED = 'replica_ended';
 
-/** Given up by the gateway; the request may have run. */
+/** The gateway cancelled the attempt; the request may have run. */
 export interface CancelledAttempt {
   readonly kind: 'cancelled';
 }
@@ -47,17 +47,17 @@
 export type AttemptResult =
   AnsweredAttempt | FailedAnswerAttempt | NotRunAttempt | BrokenAttempt | CancelledAttempt;
 
-/** Why an attempt was not run. */
+/** Why a replica did not run the request. */
 export enum NotRunReason {
-  /** The replica is full, or the time was up when its turn came. */
+  /** The replica has no capacity, or the deadline passed while the request was queued there. */
   Refused = 'refused',
-  /** Another replica has the address now. */
+  /** Another replica answered at the address. */
   WrongReplica = 'wrong_replica',
-  /** No connection came about. */
+  /** No connection was established, or the deadline passed before sending. */
   Unreachable = 'unreachable',
 }
 
-/** Whether the replica may have ended under the attempt. */
+/** Whether the connection was lost during the attempt, as when the replica crashes. */
 export function isConnectionLost(result: AttemptResult): boolean {
   return result.kind === 'broken' && CONNECTION_ENDED.has(result.reason);
 }
--- a/src/gateway/attempt-sender.ts
+++ b/src/gateway/attempt-sender.ts
@@ -1,4 +1,4 @@
-/** Sends a request to one replica once, and takes nothing for its answer that may be another's. */
+/** Sends a request to one replica once, and accepts only an answer that names this request. */
 import { HttpClientError } from '../errors/http-client-error.js';
 import { TrafficDirection, type ZoneTraffic } from '../observability/zone-traffic.js';
 import type { Clock } from '../seams/clock.js';
@@ -18,37 +18,37 @@
   return status >= 200 && status < 300;
 }
 
-/** A load report that is not in a form known here. */
+/** A load report in an unknown format. */
 export interface UnreadableReport {
   readonly replicaId: string;
   readonly text: string;
 }
 
-/** One sending of a request. */
+/** Options of one attempt. */
 export interface SendOptions {
-  /** Aborting ends it. */
+  /** Aborting it cancels the attempt. */
   readonly signal: AbortSignal;
-  /** Longest wait for a connection; that of the client alone when undefined. Milliseconds. */
+  /** Connect timeout in milliseconds; undefined for the client's own. */
   readonly connectTimeout: number | undefined;
-  /** Called when it is written to a connection: from then on the replica may run it. */
+  /** Called when the request is written to a connection; the replica may run it from then on. */
   readonly onSent: () => void;
 }
 
-/** See the module comment. */
+/** Sends attempts for one gateway and records traffic and load reports. */
 export class AttemptSender {
   constructor(
     private readonly clock: Clock,
     private readonly headerNames: ExchangeHeaders,
-    /** Told of each load report that cannot be read. */
+    /** Called with each load report that cannot be parsed. */
     private readonly onUnreadableReport: (report: UnreadableReport) => void,
     private readonly traffic: ZoneTraffic,
   ) {}
 
-  /** Never rejects: every failure is a result. */
+  /** Never rejects: failures are results. */
   async send(
     request: CallerRequest,
     target: ReplicaTarget,
-    { signal, connectTimeout: connectTimeout, onSent }: SendOptions,
+    { signal, connectTimeout, onSent }: SendOptions,
   ): Promise<AttemptResult> {
     const remaining = Math.floor(request.deadline - this.clock.now());
     if (remaining < 1) return { kind: 'notRun', reason: NotRunReason.Unreachable };
@@ -112,7 +112,10 @@
     return { body: request.body };
   }
 
-  /** Closes the connection at once when the answer names another request. */
+  /**
+   * False for an answer that names another request; the client then closes the connection
+   * immediately.
+   */
   private isForRequest(request: CallerRequest, headers: HttpHeaders): boolean {
     const id = headers[this.headerNames.requestId];
     return id === undefined || id === request.id;
@@ -121,7 +124,7 @@
   private classifyResponse(request: CallerRequest, response: HttpClientResponse): AttemptResult {
     const { status, headers, body } = response;
     const carriesId = headers[this.headerNames.requestId] === request.id;
-    // Also a refusal: a late one of an earlier request may stand where this answer is due.
+    // Refusals are checked too: a late refusal of an earlier request may arrive in place of this answer.
     if (!carriesId) return { kind: 'broken', reason: 'the answer does not name the request' };
     if (status === WRONG_REPLICA_STATUS)
       return { kind: 'notRun', reason: NotRunReason.WrongReplica };
--- a/src/gateway/attempt-tally.ts
+++ b/src/gateway/attempt-tally.ts
@@ -1,34 +1,40 @@
-/** What the attempts of one race that brought no answer leave behind: how it may go on, and how it fails. */
+/**
+ * Counts the unsuccessful attempts of a race, to decide about further attempts and the final
+ * failure.
+ */
 import type { AttemptResult, ReplicaAnswer } from './attempt-result.js';
 import { NotRunReason } from './attempt-result.js';
 import type { RaceOutcome } from './race-outcome.js';
 
-/** Sendings that replicas refused, beyond the attempts of the route. */
+/**
+ * Refused attempts that may be followed by another; they don't count towards the route's maximum
+ * attempts.
+ */
 const MAXIMUM_RETRIED_REFUSALS = 2;
 
-/** Result of an attempt that brought no answer. */
+/** Result of an attempt without a successful answer. */
 export type UnansweredResult = Exclude<AttemptResult, { kind: 'answered' }>;
 
-/** See the module comment. */
+/** Unsuccessful attempts of one {@link ReplicaRace}. */
 export class AttemptTally {
-  /** Why there is no answer, as it was last known. */
-  reason = 'no replica can take it';
-  /** Attempts that may have run, without those in flight. */
+  /** Reason of the latest unsuccessful attempt; the failure reports it. */
+  reason = 'no replica can take the request';
+  /** Ended attempts that may have run. */
   possibleRuns = 0;
   private refusals = 0;
   private failedAnswer: ReplicaAnswer | undefined;
 
-  /** Whether an attempt that has ended may have run. */
+  /** Whether any ended attempt may have run. */
   get mayHaveRun(): boolean {
     return this.possibleRuns > 0;
   }
 
-  /** Whether replicas refused it no more often than a request is sent on for. */
+  /** Whether a refused request may still be sent to another replica. */
   get isWithinRefusalLimit(): boolean {
     return this.refusals <= MAXIMUM_RETRIED_REFUSALS;
   }
 
-  /** Counts an attempt that has ended. */
+  /** Counts an ended attempt. */
   record(result: UnansweredResult): void {
     if (result.kind === 'notRun') {
       this.reason = result.reason;
@@ -40,7 +46,7 @@
     this.reason = result.kind === 'broken' ? result.reason : result.kind;
   }
 
-  /** The outcome without an answer; `mayRun` when an attempt has run, or may still run. */
+  /** Returns the failed outcome; `mayRun` says that an attempt may have run or may still run. */
   failure(mayRun: boolean): RaceOutcome {
     return {
       kind: 'failed',
--- a/src/gateway/attempts-in-flight.ts
+++ b/src/gateway/attempts-in-flight.ts
@@ -1,6 +1,6 @@
-/** The requests in flight to one peer, by when each was sent. */
+/** Tracks the requests in flight to one peer, in the order in which they were sent. */
 
-/** See the module comment. */
+/** Requests in flight to one peer. Times are clock readings in milliseconds. */
 export class AttemptsInFlight {
   private readonly sentAt = new Map<number, number>();
   private nextAttempt = 0;
@@ -9,7 +9,7 @@
     return this.sentAt.size;
   }
 
-  /** Notes a request and gives the number that {@link AttemptsInFlight.end} takes. */
+  /** Adds a request and returns its number for {@link AttemptsInFlight.end}. */
   begin(now: number): number {
     this.nextAttempt += 1;
     this.sentAt.set(this.nextAttempt, now);
@@ -20,7 +20,7 @@
     this.sentAt.delete(attempt);
   }
 
-  /** How long the oldest has been waiting; 0 when there is none. Milliseconds. */
+  /** Time since the oldest request was sent; 0 when none is in flight. */
   oldestWait(now: number): number {
     for (const sentAt of this.sentAt.values()) return now - sentAt;
     return 0;
--- a/src/gateway/cold-send-limiter.ts
+++ b/src/gateway/cold-send-limiter.ts
@@ -1,31 +1,31 @@
 /**
- * When this gateway may send to a replica that has just started, or turned cold again,
- * and bears only so many requests a second from all gateways together. Time is cut into
- * slots as long as the gateway's share takes; it may send once in each, and only in the
- * first moments of it. Slots begin at another time at each gateway, so the sum keeps to
- * the bound also when many gateways that sent nothing for long want to at the same moment.
+ * Limits requests to a cold replica: one that has just started or turned cold again and bears only
+ * a limited rate from all gateways together. Time is divided into intervals that match this
+ * gateway's share of the rate. The gateway may send once per interval, in a window at its start.
+ * Intervals start at a different phase at each gateway, so the fleet keeps to the rate even when
+ * many idle gateways want to send at the same moment.
  */
 
 /**
- * Longest part of a slot in which the gateway may send. All whose slots begin within a
- * second and this time may meet in one second. Milliseconds.
+ * Longest send window at the start of an interval. Gateways whose intervals start within one second
+ * plus this window can all send within the same second.
  */
 const MAXIMUM_SEND_WINDOW_MS = 500;
-/** Part of the bound that is shared out; the rest is for chance in where slots begin. */
+/** Share of the rate that is distributed; the rest allows for unevenly spread phases. */
 const USED_SHARE = 0.6;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Length of a slot. Milliseconds. */
+/** Length of the interval in which one gateway may send once to a cold replica. Milliseconds. */
 export function coldSendInterval(requestsPerSecond: number, gateways: number): number {
   return (MILLISECONDS_PER_SECOND * gateways) / (requestsPerSecond * USED_SHARE);
 }
 
-/** See the module comment. */
+/** Limiter of one gateway for one replica. Times are clock readings in milliseconds. */
 export class ColdSendLimiter {
   private lastInterval: number | undefined;
 
   constructor(
-    /** Where slots begin, as a part of their length. From 0 to below 1. */
+    /** Offset of the intervals as a fraction of their length, from 0 to below 1. */
     private readonly phase: number,
   ) {}
 
@@ -35,7 +35,7 @@
     return sinceStart < MAXIMUM_SEND_WINDOW_MS && Math.floor(position) !== this.lastInterval;
   }
 
-  /** A request was sent. */
+  /** Records that a request was sent, which uses up the current interval. */
   recordSend(now: number, interval: number): void {
     this.lastInterval = Math.floor(now / interval + this.phase);
   }
--- a/src/gateway/connect-timeouts.ts
+++ b/src/gateway/connect-timeouts.ts
@@ -1,24 +1,30 @@
 /**
- * How long a request to one service waits for connections to its replicas. It answers replicas that
- * accept no connections for seconds, because their queues are full or their listeners drop opening
- * packets, while others of the service have room.
+ * Bounds how long a request to a single service waits for connections. Replicas may accept no
+ * connections for seconds, because their accept queues are full or their listeners drop SYN
+ * packets, while other replicas of the service have capacity.
  */
 
-/** An opening that takes longer than this part of the target leaves too little of it for the work. */
+/** A longer connect time would leave too little of the target latency for the work itself. */
 const CONNECT_SHARE_OF_TARGET = 0.1;
-/** Over long links and on busy machines an opening takes some of this. Milliseconds. */
+/** Connecting over long links or to busy machines can take a good part of this. */
 const MINIMUM_CONNECT_TIMEOUT_MS = 50;
-/** A request that was written to no connection within this part of its target is refused as not run. */
+/**
+ * Share of the target latency after which a request that was never written to a connection is
+ * refused as not run.
+ */
 const SEND_SHARE_OF_TARGET = 0.5;
 
-/** Time from its receipt within which a request is written to a connection, or refused. Milliseconds. */
+/**
+ * Time after receipt within which a request is written to a connection, or else refused.
+ * Milliseconds.
+ */
 export function sendTimeout(targetLatency: number): number {
   return targetLatency * SEND_SHARE_OF_TARGET;
 }
 
 /**
- * Longest wait for one connection, of a request that has been written to none for `unsentFor`
- * milliseconds; undefined once it was written to one. Milliseconds.
+ * Timeout of one connection attempt. `unsentFor` is how long the request has waited without being
+ * written to any connection; undefined once it was. All times are milliseconds.
  */
 export function connectTimeout(targetLatency: number, unsentFor: number | undefined): number {
   const bound = Math.max(targetLatency * CONNECT_SHARE_OF_TARGET, MINIMUM_CONNECT_TIMEOUT_MS);
--- a/src/gateway/connection-warmer.ts
+++ b/src/gateway/connection-warmer.ts
@@ -1,40 +1,43 @@
 /**
- * Keeps a connection open to replicas that are used seldom or not yet, so that a
- * request need not wait for one: a replica that has just registered, or whose
- * connections would soon be closed because they rest. Replicas in use cost nothing.
+ * Keeps connections open to replicas that are rarely used or not used yet, so that requests don't
+ * wait for a connection. It sends health checks to replicas that have just registered or whose idle
+ * connections would soon be closed. Replicas in use get no checks.
  */
 import type { Clock } from '../seams/clock.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { ReplicaTarget } from './replica-target.js';
 
 const SCAN_INTERVAL_MS = 250;
-/** A replica that had no request for this long is asked for its health. */
+/** Idle time after which a replica gets a health check. */
 const IDLE_MS = 6_000;
-/** Spread of that, so that the gateways do not all ask at once. */
+/** Random addition to {@link IDLE_MS}, so that gateways don't all check at once. */
 const IDLE_JITTER_MS = 1_500;
-/** A replica that is not used between so many checks is let go. */
+/** Consecutive checks without a request in between, after which a replica is no longer checked. */
 const MAXIMUM_UNUSED_CHECKS = 2;
-/** Most replicas that are kept warm; further ones are connected to when they are needed. */
+/** Replicas beyond this number are connected to on demand. */
 const MAXIMUM_TARGETS = 256;
-/** Health checks of one look, so that they do not delay requests. */
+/** Bounds the health checks of one scan so that they don't delay requests. */
 const CHECKS_PER_SCAN = 12;
 const CHECK_TIMEOUT_MS = 1_000;
 
-/** What is kept warm. */
+/** Dependencies of {@link keepConnectionsWarm}. */
 export interface ConnectionWarmerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly targets: () => Iterable<ReplicaTarget>;
-  /** Whether the service is asked from here, by requests so short that a new connection is felt. */
+  /**
+   * Whether this gateway calls the service, with requests so short that connecting delays them
+   * noticeably.
+   */
   readonly isWarmed: (service: string) => boolean;
-  /** Path of the health check of a service. */
+  /** Returns the health check path of a service. */
   readonly healthPath: (service: string) => string;
-  /** Name of the header by which a replica says how long it stays cold. */
+  /** Name of the response header with a replica's remaining warmup time. */
   readonly warmupHeader: string;
   readonly stopped: AbortSignal;
 }
 
-/** Runs until stopped. */
+/** Scans replicas periodically until `stopped` is aborted. */
 export async function keepConnectionsWarm(options: ConnectionWarmerOptions): Promise<void> {
   const { clock, stopped } = options;
   while (!stopped.aborted) {
@@ -62,8 +65,8 @@
 }
 
 /**
- * Whether the replica says that it is healthy decides nothing: that lags, and requests
- * show what counts. How long it stays cold is taken from the answer.
+ * Sends a health check and records the warmup time from the response. The health status is ignored:
+ * it lags behind what requests show.
  */
 async function checkHealth(options: ConnectionWarmerOptions, target: ReplicaTarget): Promise<void> {
   const { clock, healthPath, warmupHeader } = options;
--- a/src/gateway/expected-wait.ts
+++ b/src/gateway/expected-wait.ts
@@ -1,37 +1,43 @@
 /**
- * How long a request would wait at the replicas of its service before work on it begins, and whether
- * that leaves time to answer it. It answers bursts in which all queues grow long: a request that
- * cannot be answered in time is refused while its caller can still do something else.
+ * Estimates how long a request would wait at each replica of its service before processing starts,
+ * and whether that leaves time to answer it. During bursts, when all queues grow long, a request
+ * that cannot be answered in time is refused early, while its caller can still do something else.
  */
 import type { ReplicaTarget } from './replica-target.js';
 
-/** An older load report is not used, so that a replica that always reports to be full is tried. Milliseconds. */
+/**
+ * Older load reports are ignored, so that a replica that always reports being full is still tried.
+ */
 const LOAD_VALID_MS = 1_000;
 
-/** What a request needs. Clock readings and milliseconds. */
+/**
+ * The time limits of a request and its candidate replicas. Times are clock readings in
+ * milliseconds.
+ */
 export interface WaitQuery {
   readonly targets: readonly ReplicaTarget[];
-  /** Usual time of an answer. */
+  /** Median latency of an attempt. */
   readonly medianLatency: number;
-  /** Until when it may wait for an offer. */
+  /** Until when the request may wait to be sent. */
   readonly sendDeadline: number;
   readonly deadline: number;
   readonly now: number;
 }
 
-/** Time that the replica needs for one request, by how slow it was lately. Milliseconds. */
+/** Expected service time of one request, given the replica's recent slowness. Milliseconds. */
 function serviceTime(target: ReplicaTarget, medianLatency: number, now: number): number {
   return medianLatency * Math.max(1, target.slownessAt(now));
 }
 
-/** In which one of the replica's slots is expected to become free when all are used. Milliseconds. */
+/** Mean time until one of the replica's slots becomes free when all are in use. Milliseconds. */
 export function slotInterval(target: ReplicaTarget, medianLatency: number, now: number): number {
   return serviceTime(target, medianLatency, now) / Math.max(1, target.entry.capacity);
 }
 
 /**
- * Requests at the replica now, by its last load report less what it has done since. Nothing is
- * assumed to have come since, so that an old report never keeps requests away from it for long.
+ * Estimates the requests at the replica: its last load report, less those it should have completed
+ * since. Arrivals since the report are not estimated, so that an old report doesn't keep requests
+ * away from the replica for long.
  */
 function requestsAhead(target: ReplicaTarget, medianLatency: number, now: number): number {
   const { load, inFlight } = target;
@@ -40,7 +46,10 @@
   return Math.max(inFlight, load.running + load.waiting - done);
 }
 
-/** Until work on a request that is sent to the replica now begins. Milliseconds. */
+/**
+ * Expected time until the replica starts processing a request sent now; not positive without a
+ * queue. Milliseconds.
+ */
 export function expectedWait(target: ReplicaTarget, medianLatency: number, now: number): number {
   const slots = Math.max(1, target.entry.capacity);
   const queuedRequests = Math.max(0, requestsAhead(target, medianLatency, now) + 1 - slots);
@@ -49,15 +58,11 @@
 }
 
 /**
- * Until some replica begins work on a request that was refused, by those that are known to be busy:
- * the others had no room either. Undefined where none is, as when they cannot be reached: nothing
- * says when they come back. Milliseconds.
+ * Shortest expected wait among the replicas known to be busy, for a request that was refused. The
+ * other replicas are left out, as they had no capacity either. Undefined when none is known to be
+ * busy, for example when all are unreachable and their return can't be predicted. Milliseconds.
  */
-export function shortestBusyWait({
-  targets,
-  medianLatency: medianLatency,
-  now,
-}: WaitQuery): number | undefined {
+export function shortestBusyWait({ targets, medianLatency, now }: WaitQuery): number | undefined {
   const waits = targets
     .filter((target) => !target.isBackingOff(now))
     .map((target) => expectedWait(target, medianLatency, now))
@@ -65,20 +70,14 @@
   return waits.length === 0 ? undefined : Math.min(...waits);
 }
 
-/** Why no replica can take the request in time; undefined when one may. */
+/** Why no replica can answer the request in time; undefined if one may. */
 export function refusalReason(query: WaitQuery): string | undefined {
-  const {
-    targets,
-    medianLatency: medianLatency,
-    sendDeadline: sendDeadline,
-    deadline,
-    now,
-  } = query;
+  const { targets, medianLatency, sendDeadline, deadline, now } = query;
   if (targets.length === 0) return undefined;
   if (targets.every(({ fullUntil }) => fullUntil > sendDeadline)) return 'all replicas are full';
   const mayAnswer = targets.some((target) => {
     const wait = expectedWait(target, medianLatency, now);
-    // Without a queue it is tried: the usual time alone says too little of one request.
+    // A replica without a queue is tried: the median predicts too little about a single request.
     return wait <= 0 || now + wait + serviceTime(target, medianLatency, now) <= deadline;
   });
   return mayAnswer ? undefined : 'no replica can answer before the deadline';
--- a/src/gateway/extra-attempt-budget.ts
+++ b/src/gateway/extra-attempt-budget.ts
@@ -1,27 +1,27 @@
 /**
- * Bounds what replicas get beyond the first sending of each request. The bound
- * holds for all gateways together and over any span of time: each spends a
- * fraction of its own requests, and saves up no more than its share of what the
- * fleet may save up. In a process younger than a window it begins with its share
- * of what is never saved up, so that a fleet that starts again at once stays
- * within the bounds too; in an older one all of its share is there, since nothing
- * of it can have been spent within the window.
+ * Token bucket that bounds extra attempts: retries and hedges beyond the first attempt of each
+ * request. The bound holds for all gateways together and over any window: each gateway earns a
+ * fraction of a token per request of its own, and its bucket holds no more than its share of the
+ * fleet's slack. In a process younger than a window, a bucket starts with the gateway's share of
+ * the reserve that is never accumulated, so that a fleet that restarts all at once stays within the
+ * bounds too. In an older process it starts full, since none of it can have been spent within the
+ * window.
  */
 
-/** Bounds of the whole fleet. */
+/** Limits of the whole fleet. */
 export interface ExtraAttemptLimits {
-  /** Further sendings for each request. */
+  /** Extra attempts per request. */
   readonly ratio: number;
-  /** Further sendings beyond that, of all gateways together, in any window. */
+  /** Extra attempts in addition to the ratio, of all gateways together, in any window. */
   readonly slack: number;
   /** Length of a window. Milliseconds. */
   readonly windowMs: number;
 }
 
-/** Part of the bounds that is used, for what is counted differently elsewhere. */
+/** Share of the limits in use; the rest covers attempts that others count differently. */
 const USED_SHARE = 0.85;
 
-/** Of one service. */
+/** Budget of one gateway for one service. */
 export class ExtraAttemptBudget {
   private tokens: number;
 
@@ -34,20 +34,20 @@
     this.tokens = (limits.slack * share) / Math.max(1, gateways);
   }
 
-  /** A request was sent for the first time. */
+  /** Earns tokens for the first attempt of a request. */
   recordRequest(gateways: number): void {
     const maximum = (this.limits.slack * USED_SHARE) / Math.max(1, gateways);
     this.tokens = Math.min(this.tokens + this.limits.ratio * USED_SHARE, Math.max(1, maximum));
   }
 
-  /** Takes one further sending; false when there is none left. */
+  /** Takes one extra attempt; false if none is left. */
   take(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
   }
 
-  /** Gives back what {@link ExtraAttemptBudget.take} took and was not used. */
+  /** Returns an extra attempt from {@link ExtraAttemptBudget.take} that was not used. */
   giveBack(): void {
     this.tokens += 1;
   }
--- a/src/gateway/failure-backoff.ts
+++ b/src/gateway/failure-backoff.ts
@@ -1,10 +1,9 @@
-/** How long a peer that could not be used is left alone: longer with each failure in a row. */
+/** Exponential backoff for a peer that failed, doubled with each consecutive failure. */
 
-/** First and longest rest. Milliseconds. */
 const FIRST_BACKOFF_MS = 150;
 const MAXIMUM_BACKOFF_MS = 4_000;
 
-/** See the module comment. Times are clock readings. */
+/** Backoff state of one peer. Times are clock readings in milliseconds. */
 export class FailureBackoff {
   private backoffUntil = -Infinity;
   private failures = 0;
@@ -15,7 +14,7 @@
     this.backoffUntil = now + backoff;
   }
 
-  /** It answered: it can be used. */
+  /** Ends the backoff: the peer has answered. */
   recordSuccess(): void {
     this.failures = 0;
     this.backoffUntil = -Infinity;
--- a/src/gateway/fleet-shares.ts
+++ b/src/gateway/fleet-shares.ts
@@ -1,23 +1,25 @@
-/** This gateway's share of what all gateways together may use: connections and second sends. */
+/**
+ * Computes this gateway's share of fleet-wide limits: connections, cold sends, and extra attempts.
+ */
 import type { RouteTable } from '../routes/route-table.js';
 import type { Clock } from '../seams/clock.js';
 import { coldSendInterval } from './cold-send-limiter.js';
 import { ExtraAttemptBudget, type ExtraAttemptLimits } from './extra-attempt-budget.js';
 
-/** Taken as the number of gateways while no controller has said it. */
+/** Assumed number of gateways until a controller reports it. */
 const DEFAULT_GATEWAYS = 16;
-/** Part of a replica's connections that is used; the rest is for gateways not counted yet. */
+/** Share of a replica's connections in use; the rest is for gateways that are not counted yet. */
 const USED_SHARE = 0.9;
 /**
- * While young, a gateway leaves room for connections that replicas still hold
- * from its earlier process: one whose machine lost power closed none of them.
+ * Share in use after the start of the process, because replicas may still hold connections of the
+ * previous process: one whose machine lost power closed none of them.
  */
 const STARTUP_USED_SHARE = 0.4;
 const STARTUP_MS = 12_000;
 const DEFAULT_CONNECTIONS = 16;
 const COUNT_INTERVAL_MS = 100;
 
-/** See the module comment. */
+/** Shares of one gateway process. */
 export class FleetShares {
   private readonly budgets = new Map<string, ExtraAttemptBudget>();
 
@@ -29,13 +31,13 @@
     private readonly clock: Clock,
     private readonly limits: ExtraAttemptLimits,
     private readonly countGateways: () => number | undefined,
-    /** Whether a young gateway leaves room for connections of its earlier process. */
+    /** Whether connections of the previous process are allowed for after the start. */
     private readonly reservesAtStartup: boolean,
   ) {
     this.startedAt = clock.now();
   }
 
-  /** Most attempts in flight from here to one replica of the service. */
+  /** Maximum number of attempts in flight from this gateway to one replica of the service. */
   maximumInFlight(table: RouteTable, service: string): number {
     const connections = table.service(service)?.maximumConnections ?? DEFAULT_CONNECTIONS;
     const isStartup = this.clock.now() - this.startedAt < STARTUP_MS;
@@ -43,23 +45,23 @@
     return Math.max(1, Math.floor((connections * share) / this.gateways));
   }
 
-  /** See `ColdSendSlots`; Infinity where cold replicas get as many requests as others. */
+  /** Interval for `ColdSendLimiter` in milliseconds; Infinity if cold replicas are not limited. */
   coldSendInterval(table: RouteTable, service: string): number {
     const perSecond = table.service(service)?.coldRequestsPerSecond ?? 0;
     return perSecond > 0 ? coldSendInterval(perSecond, this.gateways) : Infinity;
   }
 
-  /** A request was sent to the service for the first time. */
+  /** Records the first attempt of a request to the service. */
   recordRequest(service: string): void {
     this.budgetOf(service).recordRequest(this.gateways);
   }
 
-  /** Takes one further sending to the service; false when there is none left. */
+  /** Takes one extra attempt from the service's budget; false if none is left. */
   takeExtraAttempt(service: string): boolean {
     return this.budgetOf(service).take();
   }
 
-  /** Counted again now and then: it is asked for with every sending. */
+  /** Number of gateways, cached because every attempt reads it. */
   private get gateways(): number {
     const now = this.clock.now();
     if (now - this.countedAt >= COUNT_INTERVAL_MS) {
--- a/src/gateway/overload-shedding.ts
+++ b/src/gateway/overload-shedding.ts
@@ -1,34 +1,36 @@
 /**
- * Refuses a part of the fan-outs while the replicas of their shards are
- * overloaded, so that the others are answered in time. What replicas say of
- * their queues decides: a few slow replicas are no overload, queues at most of
- * them are.
+ * Sheds a part of the fan-outs while the replicas of their shards are overloaded, so that the
+ * others are answered in time. The decision uses the queues that replicas report: queues at a few
+ * slow replicas are no overload, queues at most replicas are.
  */
 import type { RandomSource } from '../seams/random-source.js';
 import type { ReportedLoad } from './reported-load.js';
 
-/** Reports after which the admitted part is reckoned afresh. */
+/** Load reports after which the admitted part is adjusted. */
 const REPORTS_PER_WINDOW = 100;
-/** Above this share of reports with a long queue the admitted part is multiplied by a factor. */
+/**
+ * Above this share of reports with a long queue, the admitted part is multiplied by {@link
+ * DECREASE_FACTOR}.
+ */
 const OVERLOADED_SHARE = 0.6;
 const DECREASE_FACTOR = 0.82;
-/** Below this share the admitted part grows by a step. */
+/** Below this share, the admitted part grows by {@link INCREASE_STEP}. */
 const UNLOADED_SHARE = 0.35;
 const INCREASE_STEP = 0.12;
 const MINIMUM_ADMITTED = 0.3;
-/** Of two requests the less urgent is refused a little more often for each rank. */
+/** Additional probability of refusal per priority rank; a higher rank is less urgent. */
 const PRIORITY_STEP = 0.04;
 
-/** Weight of one leaf's word: each speaks for a part of the shards. */
+/** Weight of one leaf's admitted part, low because a leaf covers only some of the shards. */
 const LEAF_WEIGHT = 0.15;
 
-/** Of one set of shards. */
+/** Admission state of one set of shards. */
 class ShardSetLoad {
   admitted = 1;
   private reports = 0;
   private longQueues = 0;
 
-  /** What a leaf admits for some of the shards moves the whole set by a part. */
+  /** Moves the admitted part of the whole set towards that of a leaf. */
   mergeAdmitted(admitted: number): void {
     this.admitted += (admitted - this.admitted) * LEAF_WEIGHT;
   }
@@ -49,30 +51,32 @@
   }
 }
 
-/** See the module comment. */
+/** Load shedding by set of shards; a set is identified by its first shard. */
 export class OverloadShedding {
   private readonly sets = new Map<string, ShardSetLoad>();
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Whether a fan-out over the set that begins with `firstShard` is taken on. */
+  /** Randomly decides whether to admit a fan-out over the set that begins with `firstShard`. */
   admits(firstShard: string, priority: number): boolean {
     const admitted = this.admittedPart(firstShard);
     if (admitted >= 1) return true;
     return this.random.nextFloat() < admitted - PRIORITY_STEP * priority;
   }
 
-  /** A replica of the set told its load. */
+  /** Records a load report of a replica of the set. */
   recordLoad(firstShard: string, load: ReportedLoad): void {
     this.setOf(firstShard).recordLoad(load);
   }
 
-  /** Part of the requests to the set that is taken on. */
+  /** Fraction of the requests to the set that is admitted, from 0 to 1. */
   admittedPart(firstShard: string): number {
     return this.sets.get(firstShard)?.admitted ?? 1;
   }
 
-  /** Another gateway, which asks some shards of the set, takes on this part. */
+  /**
+   * Takes into account the admitted part of a leaf, a gateway that queries some shards of the set.
+   */
   mergeAdmittedPart(firstShard: string, admittedPart: number): void {
     this.setOf(firstShard).mergeAdmitted(Math.min(1, Math.max(MINIMUM_ADMITTED, admittedPart)));
   }
--- a/src/gateway/race-outcome.ts
+++ b/src/gateway/race-outcome.ts
@@ -1,14 +1,14 @@
-/** How a race between replicas for one answer ended. */
+/** Outcome of a race between replicas. */
 import type { ReplicaAnswer } from './attempt-result.js';
 
-/** See the module comment. */
+/** A successful answer, or a failure with what is known about its execution. */
 export type RaceOutcome =
   | { readonly kind: 'answered'; readonly answer: ReplicaAnswer }
   | {
       readonly kind: 'failed';
-      /** False only when it is certain that no replica ran it. */
+      /** False only if it is certain that no replica ran the request. */
       readonly mayHaveRun: boolean;
-      /** A replica's own failure, when there is one. */
+      /** The last failed answer of a replica, if any. */
       readonly answer: ReplicaAnswer | undefined;
       readonly reason: string;
     };
--- a/src/gateway/replacement-signal.ts
+++ b/src/gateway/replacement-signal.ts
@@ -1,32 +1,29 @@
 /**
- * Tells those that wait for a replica that another one has its address. It answers machines that go
- * dark with requests at work: nothing resets their connections, and a request that may not be sent
- * again would wait for its deadline.
+ * Notifies attempts in flight that another replica has taken over the address of theirs. When a
+ * machine loses power or network, nothing resets its connections, and a request that must not be
+ * retried would wait until its deadline.
  */
 
-/**
- * What the replica wrote before its end arrives within this time of the proof that it ended.
- * Milliseconds.
- */
+/** Time for data that a replica sent before it ended to arrive after its replacement is known. */
 export const REPLACED_REPLICA_GRACE_MS = 250;
 
-/** See the module comment. Of one replica. */
+/** Replacement of one replica; it may be signalled more than once. */
 export class ReplacementSignal {
   private callbacks = new Set<() => void>();
 
-  /** Calls `callback` once when another replica is known to have the address. */
+  /** Calls `callback` once, at the next {@link ReplacementSignal.emit}. */
   once(callback: () => void): void {
     this.callbacks.add(callback);
   }
 
-  /** The callback is no longer wanted. */
+  /** Removes a callback of {@link ReplacementSignal.once}. */
   cancel(callback: () => void): void {
     this.callbacks.delete(callback);
   }
 
-  /** Another replica has the address. */
+  /** Calls and removes all callbacks: another replica has taken over the address. */
   emit(): void {
-    const { callbacks: callbacks } = this;
+    const { callbacks } = this;
     this.callbacks = new Set();
     for (const callback of callbacks) callback();
   }
--- a/src/gateway/replica-attempt.ts
+++ b/src/gateway/replica-attempt.ts
@@ -1,4 +1,4 @@
-/** One sending of a request to one replica, from its choice until its result is known. */
+/** One attempt: a request sent to one replica, from the choice of the replica to the result. */
 import { choiceInputs, type AttemptRecord } from './attempt-record.js';
 import { NotRunReason, REPLICA_ENDED, type AttemptResult } from './attempt-result.js';
 import type { CallerRequest } from './caller-request.js';
@@ -8,33 +8,33 @@
 import type { SendOptions } from './attempt-sender.js';
 
 /**
- * Longest time that an attempt goes on after its answer is not wanted any more: a pause of a
- * replica, and far less than the half second in which a caller's leaving has to reach it. Milliseconds.
+ * How long an abandoned attempt may continue: as long as a typical pause of a replica, and far less
+ * than the 500 ms within which a caller's disconnect must reach the replica.
  */
 const LINGER_TIMEOUT_MS = 200;
-/** Why attempts are aborted. One for all: an error made for each would cost more than the abort. */
-const ABANDONED_ERROR = new Error('the answer is not wanted any more');
+/** Abort reason, shared because creating an error per attempt costs more than the abort itself. */
+const ABANDONED_ERROR = new Error('attempt abandoned: its answer is no longer needed');
 
-/** What is sent, where to and how. */
+/** Options of a {@link ReplicaAttempt}. */
 export interface ReplicaAttemptOptions {
   readonly request: CallerRequest;
   readonly target: ReplicaTarget;
-  /** The only sending of a suspected request from here. */
+  /** Whether this is a trial: the only attempt of a suspected request from this gateway. */
   readonly isTrial: boolean;
-  /** Whether it is given up when another replica has the address. */
+  /** Whether to abort the attempt when another replica takes over the address. */
   readonly abortsOnReplacement: boolean;
-  /** Longest wait for a connection; that of the client alone when undefined. Milliseconds. */
+  /** Connect timeout in milliseconds; undefined for the client's own. */
   readonly connectTimeout: number | undefined;
-  /** Time between two sendings to the replica while it is cold. Milliseconds. */
+  /** Interval between attempts to the replica while it is cold. Milliseconds. */
   readonly coldSendInterval: number;
 }
 
-/** See the module comment. */
+/** Sends once; the record is filled in as the attempt proceeds. */
 export class ReplicaAttempt {
   readonly record: AttemptRecord;
   private readonly abortController = new AbortController();
   private hasEnded = false;
-  /** Given up because another replica has the address. */
+  /** Set when the attempt is aborted because another replica took over the address. */
   private wasReplicaReplaced = false;
 
   constructor(
@@ -59,12 +59,18 @@
     return this.options.isTrial;
   }
 
-  /** Whether the replica may run it; before it is written to a connection an abort makes sure that none does. */
+  /**
+   * Whether the request was written to a connection; until then, an abort ensures that no replica
+   * runs it.
+   */
   get isConnected(): boolean {
     return this.record.connectedAt !== undefined;
   }
 
-  /** Sends; `onResult` is called once, later, when the replica counts it no longer. */
+  /**
+   * Sends the request; `onResult` is called once, asynchronously, after the attempt no longer
+   * counts as in flight.
+   */
   start(onResult: (result: AttemptResult) => void): void {
     const { target, isTrial, options } = this;
     const number = target.begin(this.record.sentAt);
@@ -81,20 +87,20 @@
     });
   }
 
-  /** Ends it at once. */
+  /** Aborts the attempt immediately. */
   abort(): void {
     this.abortController.abort(ABANDONED_ERROR);
   }
 
   /**
-   * Its answer is not wanted any more. Closing its connection ends an attempt at once, and costs
-   * the next request a new connection. A replica without a queue is left to answer for a moment
-   * instead.
+   * Abandons the attempt because its answer is no longer needed. An abort closes the connection, so
+   * that the next request has to open a new one. A replica without a queue is therefore left to
+   * answer for up to {@link LINGER_TIMEOUT_MS}.
    */
   abandon(): void {
     const { load } = this.target;
     const hasQueue = load !== undefined && load.waiting > 0;
-    // One that is not written yet must never be: its caller may be told that it was not run.
+    // A request not yet written must never be: its caller may get the response that it was not run.
     const mayLinger = this.context.mechanisms.lingering && this.isConnected;
     if (!mayLinger || hasQueue) {
       this.abort();
@@ -113,7 +119,10 @@
     };
   }
 
-  /** Gives it up once what the replica wrote before its end is here; not where its loss was false word. */
+  /**
+   * Aborts the attempt after a grace period for an answer that is still in transit, unless the
+   * replacement has turned out to be wrong by then.
+   */
   private readonly onReplicaReplaced = (): void => {
     const { clock } = this.context.environment;
     clock.setTimer(REPLACED_REPLICA_GRACE_MS, () => {
@@ -124,7 +133,7 @@
     });
   };
 
-  /** Of an attempt that was given up because another replica has the address. */
+  /** Result of an attempt that was aborted because another replica took over the address. */
   private resultAfterReplacement(result: AttemptResult): AttemptResult {
     if (result.kind !== 'cancelled') return result;
     if (this.isConnected) return { kind: 'broken', reason: REPLICA_ENDED };
--- a/src/gateway/replica-candidates.ts
+++ b/src/gateway/replica-candidates.ts
@@ -1,21 +1,24 @@
-/** The replicas of one service that one request may still be sent to, and the choice among them. */
+/** Tracks which replicas of a service one request may still be sent to, and chooses among them. */
 import type { CallerRequest } from './caller-request.js';
 import type { GatewayContext } from './gateway-context.js';
 import type { ReplicaTarget } from './replica-target.js';
 import { targetLatencyOf } from './route-latencies.js';
 import type { RouteLatency } from './route-latency.js';
 
-/** What the choice goes by. */
+/** Inputs of the choice that are fixed for a race. */
 export interface ReplicaCandidatesOptions {
   readonly service: string;
   readonly latency: RouteLatency;
-  /** Part of the request's worth that is lost when this service does not answer in time; at most 1. */
+  /** Share of the request's value that is lost if this service's answer is late; at most 1. */
   readonly valueShare: number;
 }
 
-/** See the module comment. */
+/** Candidate replicas of one race. */
 export class ReplicaCandidates {
-  /** Replicas that are not asked again, or not before the next pause. */
+  /**
+   * Replicas excluded from further attempts, some of them only until {@link
+   * ReplicaCandidates.readmitNotRun}.
+   */
   private readonly tried = new Set<ReplicaTarget>();
   private readonly notRunBy = new Set<ReplicaTarget>();
 
@@ -25,19 +28,22 @@
     private readonly options: ReplicaCandidatesOptions,
   ) {}
 
-  /** Where no replica is known, none will have room; only a gateway that has just started may learn of one. */
+  /**
+   * Whether waiting for capacity can help. Without a known replica it can't, except at a gateway
+   * that has just started and is still discovering replicas.
+   */
   get mayBecomeAvailable(): boolean {
     return this.permitted.length > 0 || this.context.targets.isDiscovering;
   }
 
-  /** The best replica that was not asked; undefined when none can take it. */
+  /** Chooses the best replica that was not tried; undefined if none is available. */
   choose(): ReplicaTarget | undefined {
     return this.chooseExcept(this.tried);
   }
 
   /**
-   * A replica for a trial, `target` where there is no better one: two requests that are tried on
-   * one replica would both be blamed when it ends.
+   * Chooses a replica for a trial, preferably one without another trial: if a replica with two
+   * trials crashed, both requests would count as the cause. Falls back to `target`.
    */
   chooseForTrial(target: ReplicaTarget): ReplicaTarget {
     if (target.trialsInFlight === 0) return target;
@@ -45,23 +51,23 @@
     return this.chooseExcept(new Set([...this.tried, ...onTrial])) ?? target;
   }
 
-  /** It is sent to the replica now, which is not chosen again. */
+  /** Excludes a replica that the request is being sent to. */
   markTried(target: ReplicaTarget): void {
     this.tried.add(target);
   }
 
-  /** The replica did not run it, and may do so after a pause. */
+  /** Marks a replica that did not run the request and may be tried again after a delay. */
   markNotRun(target: ReplicaTarget): void {
     this.notRunBy.add(target);
   }
 
-  /** Replicas that did not run it may be chosen again. */
+  /** Makes the replicas that did not run the request available again. */
   readmitNotRun(): void {
     for (const target of this.notRunBy) this.tried.delete(target);
     this.notRunBy.clear();
   }
 
-  /** Replicas that may get the request. */
+  /** Usable replicas of the service in the regions that the route permits. */
   private get permitted(): readonly ReplicaTarget[] {
     const { targets, regions } = this.context;
     return regions.permitted(this.request.route, targets.of(this.options.service));
@@ -70,13 +76,13 @@
   private chooseExcept(excluded: ReadonlySet<ReplicaTarget>): ReplicaTarget | undefined {
     const { choice, shares } = this.context;
     const { table, route } = this.request;
-    const { service, latency, valueShare: valueShare } = this.options;
+    const { service, latency, valueShare } = this.options;
     return choice.choose({
       targets: this.permitted,
       excluded,
       medianLatency: latency.median,
       targetLatency: targetLatencyOf(route),
-      valueShare: valueShare,
+      valueShare,
       maximumInFlight: shares.maximumInFlight(table, service),
       coldSendInterval: shares.coldSendInterval(table, service),
     });
--- a/src/gateway/replica-choice.ts
+++ b/src/gateway/replica-choice.ts
@@ -1,65 +1,63 @@
 /**
- * Which replica of a service gets a request: the one for which the risk of a late
- * answer and the cost of traffic between zones are the least together, by what
- * this gateway saw of it and what it said of its load.
+ * Chooses the replica of a service that gets a request: the one with the lowest sum of lateness
+ * cost and cross-zone traffic cost, estimated from this gateway's observations and the replica's
+ * load reports.
  */
 import type { GatewayMechanisms } from '../configuration/gateway-mechanisms.js';
 import type { Clock } from '../seams/clock.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { ReplicaTarget } from './replica-target.js';
 
-/** What a replica said of its load is used for this long. */
+/** Age up to which a load report is used. */
 const LOAD_VALID_MS = 400;
-/**
- * What a replica says of the time that work takes changes several times a second:
- * it counts half after this long.
- */
+/** Half-life of a reported work factor, which changes several times a second. */
 const WORK_HALF_LIFE_MS = 200;
 /**
- * Most that a sending to another zone counts for, as a part of what is lost when the answer is
- * late: a near replica that is expected to take more than half of the target is left for it.
+ * Upper bound of the cross-zone cost, as a share of the value lost if the answer is late. With it,
+ * a replica in another zone is preferred over one in the same zone that is expected to take more
+ * than half of the target latency.
  */
 const MAXIMUM_ZONE_COST_SHARE = 0.3;
-/** A warming replica takes this many times as long. */
+/** Factor by which a cold replica is expected to be slower. */
 const WARMUP_FACTOR = 1.6;
-/** Spread of chance, so that gateways that know the same do not all choose the same. */
+/** Random spread, so that gateways with the same information don't all choose the same replica. */
 const JITTER_FACTOR = 0.1;
-/** An attempt in flight that waits longer than this many usual times shows a pause. */
+/** An attempt in flight for longer than this many median latencies indicates a stalled replica. */
 const STALL_RATIO = 3;
 const STALL_FACTOR = 4;
 
-/** Where the gateway is, and what distance costs it. */
+/** Zone of the gateway and cost of traffic to other zones. */
 export interface PlacementOptions {
   readonly zone: string;
-  /** Cost of one sending to another zone, as a part of the worth of one request in time. */
+  /** Cost of one attempt to another zone, as a fraction of the value of one timely answer. */
   readonly otherZoneCost: number;
 }
 
-/** What a choice goes by. Durations are milliseconds. */
+/** Inputs of one choice. Durations are milliseconds. */
 export interface ChoiceQuery {
   readonly targets: readonly ReplicaTarget[];
-  /** Replicas that are not to be asked. */
+  /** Replicas that must not be chosen. */
   readonly excluded: ReadonlySet<ReplicaTarget>;
-  /** Usual time of an answer. */
+  /** Median latency of an attempt. */
   readonly medianLatency: number;
-  /** Time within which the request is to be answered. */
+  /** Latency within which an answer has its full value. */
   readonly targetLatency: number;
-  /** Part of the request's worth that is lost when this one answer is late; at most 1. */
+  /** Share of the request's value that is lost if this answer is late; at most 1. */
   readonly valueShare: number;
-  /** Most attempts in flight from here to one replica. */
+  /** Maximum number of attempts in flight from this gateway to one replica. */
   readonly maximumInFlight: number;
-  /** See `ColdSendSlots`; Infinity where cold replicas get as many requests as others. */
+  /** Interval for `ColdSendLimiter`; Infinity if cold replicas are not limited. */
   readonly coldSendInterval: number;
 }
 
-/** How long work takes at the replica over what is usual there, as far as its last word still holds. */
+/** Reported work factor of the replica, decaying towards 1 with the age of the report. */
 function decayedWorkFactor({ load }: ReplicaTarget, now: number): number {
   if (load === undefined) return 1;
   const weight = 0.5 ** ((now - load.at) / WORK_HALF_LIFE_MS);
   return 1 + (load.workFactor - 1) * weight;
 }
 
-/** See the module comment. */
+/** Chooses replicas for one gateway. */
 export class ReplicaChoice {
   constructor(
     private readonly clock: Clock,
@@ -68,7 +66,11 @@
     private readonly mechanisms: GatewayMechanisms,
   ) {}
 
-  /** The best replica; resting ones and full ones only where there is no other; undefined when all are full. */
+  /**
+   * Returns the replica with the lowest cost. Replicas that are backing off or have refused a
+   * request as full are chosen only if there is no other. Undefined if every replica is excluded,
+   * replaced, at its in-flight limit or limited while cold.
+   */
   choose(query: ChoiceQuery): ReplicaTarget | undefined {
     const now = this.clock.now();
     let best: ReplicaTarget | undefined;
@@ -91,14 +93,14 @@
 
   private isColdLimited(
     { coldUntil: warmUntil, coldSendLimiter: coldSends }: ReplicaTarget,
-    { coldSendInterval: coldSendInterval }: ChoiceQuery,
+    { coldSendInterval }: ChoiceQuery,
     now: number,
   ): boolean {
     const isBounded = now < warmUntil && Number.isFinite(coldSendInterval);
     return isBounded && !coldSends.allows(now, coldSendInterval);
   }
 
-  /** As a part of the worth of one request in time. */
+  /** Cost of choosing `target`, as a fraction of the value of one timely answer. */
   private cost(target: ReplicaTarget, query: ChoiceQuery, now: number): number {
     const isSameZone = target.entry.zone === this.placement.zone;
     const zoneCost = isSameZone ? 0 : this.zoneCost(query);
@@ -106,22 +108,25 @@
     return this.latenessCost(target, query, now) * jitter + zoneCost;
   }
 
-  /** Of one shard of many little is lost when its answer is late, and still more than the way costs. */
-  private zoneCost({ valueShare: valueShare }: ChoiceQuery): number {
+  /**
+   * Bounded by the value share: one late shard of many loses little, but still more than the
+   * traffic costs.
+   */
+  private zoneCost({ valueShare }: ChoiceQuery): number {
     return Math.min(this.placement.otherZoneCost, valueShare * MAXIMUM_ZONE_COST_SHARE);
   }
 
   /**
-   * A little more time matters little while there is plenty left, and ever more
-   * as the expected time comes near the target: it grows with its square.
+   * Grows with the square of the expected latency: additional time matters little while there is
+   * plenty left, and ever more as the expected latency approaches the target.
    */
   private latenessCost(target: ReplicaTarget, query: ChoiceQuery, now: number): number {
-    const { medianLatency: medianLatency, targetLatency, valueShare: valueShare } = query;
+    const { medianLatency, targetLatency, valueShare } = query;
     const expectedTime = medianLatency * this.latencyFactor(target, medianLatency, now);
     return valueShare * (expectedTime / targetLatency) ** 2;
   }
 
-  /** Expected time until the answer, in usual times. */
+  /** Expected latency as a multiple of the median latency. */
   private latencyFactor(target: ReplicaTarget, medianLatency: number, now: number): number {
     let factor = this.queueFactor(target, now);
     if (this.mechanisms.workReports) factor *= decayedWorkFactor(target, now);
@@ -132,7 +137,7 @@
     return factor;
   }
 
-  /** How many times as long a request takes because of those before it. */
+  /** Factor by which requests ahead at the replica delay a new one. */
   private queueFactor(target: ReplicaTarget, now: number): number {
     const slots = Math.max(1, target.entry.capacity);
     const { load, inFlight } = target;
--- a/src/gateway/replica-race.ts
+++ b/src/gateway/replica-race.ts
@@ -1,7 +1,7 @@
 /**
- * Gets one answer from one service: sends to its best replica, to another when
- * that fails or is late, and takes the first whole answer. A request that is not
- * repeatable is sent on only when it certainly was not run.
+ * Gets one answer from one service: sends the request to the best replica, and to others if that
+ * fails or is late, and takes the first complete answer. A request that is not repeatable is sent
+ * again only if it certainly did not run.
  */
 import { Admission } from '../quarantine/crash-guard.js';
 import { recordCrashEvidence } from './attempt-evidence.js';
@@ -21,32 +21,46 @@
 import type { RaceOutcome } from './race-outcome.js';
 import type { RouteLatency } from './route-latency.js';
 
-/** Pause before replicas that could not take it are tried again; doubled each time. Milliseconds. */
+/**
+ * Delay before replicas that did not run the request are tried again; doubled each time, with
+ * jitter.
+ */
 const FIRST_RETRY_DELAY_MS = 12;
 
-/** What is asked, and how. */
+/** Options of a {@link ReplicaRace}. */
 export interface ReplicaRaceOptions {
   readonly service: string;
   readonly latency: RouteLatency;
-  /** Part of the request's worth that is lost when this service does not answer in time; at most 1. */
+  /** Share of the request's value that is lost if this service's answer is late; at most 1. */
   readonly valueShare: number;
-  /** The request may have been sent to the service by another gateway: the budget is asked first. */
+  /**
+   * Whether another gateway may have sent the request to the service: the first attempt then needs
+   * budget as well.
+   */
   readonly isRepeat: boolean;
-  /** Until when replicas that could not take it are tried again. Clock reading. */
+  /** Until when replicas that did not run the request are tried again. Clock reading. */
   readonly retryDeadline: number;
-  /** Whether an attempt is given up when another replica has the address; absent: it is not. */
+  /**
+   * Whether an attempt is aborted when another replica takes over the address; false by default.
+   */
   readonly abortsOnReplacement?: boolean;
-  /** Longest wait for a connection of a sending that begins now; absent: the client's own. Milliseconds. */
+  /**
+   * Returns the connect timeout of an attempt that starts now, in milliseconds; the client's own if
+   * absent.
+   */
   readonly connectTimeout?: (() => number) | undefined;
-  /** Asked before a further sending beside or after one that may have run; absent: always allowed. */
+  /**
+   * Called before an attempt that follows one that may have run or is in flight; always allowed if
+   * absent.
+   */
   readonly maySendAgain?: (() => boolean) | undefined;
   readonly onEnd: (race: ReplicaRace) => void;
 }
 
-/** See the module comment. */
+/** Race between the replicas of one service for one request. */
 export class ReplicaRace {
   outcome: RaceOutcome | undefined;
-  /** Sendings so far, in their order. */
+  /** Attempts so far, in the order of sending. */
   readonly attempts: AttemptRecord[] = [];
   private readonly inFlight = new Set<ReplicaAttempt>();
   private readonly candidates: ReplicaCandidates;
@@ -63,18 +77,18 @@
     this.candidates = new ReplicaCandidates(context, request, options);
   }
 
-  /** The service that is asked. */
+  /** The service whose replicas are tried. */
   get service(): string {
     return this.options.service;
   }
 
-  /** Sends for the first time, or as soon as a replica has room. */
+  /** Starts the first attempt, or waits until a replica has capacity. */
   start(): void {
     if (!this.options.isRepeat) this.context.shares.recordRequest(this.service);
     this.begin();
   }
 
-  /** Ends the race before it began. */
+  /** Ends the race without an attempt; called instead of {@link ReplicaRace.start}. */
   refuse(reason: string): void {
     this.tally.reason = reason;
     this.finish(this.failure());
@@ -91,7 +105,10 @@
     else this.finish(this.failure());
   }
 
-  /** Sends to another replica as well, when the budget has room; true when it did. */
+  /**
+   * Starts a hedge if the route, the budget and the crash guard allow it; true if it was sent or
+   * awaits a trial.
+   */
   hedge(): boolean {
     const isOver = this.outcome !== undefined || !this.context.mechanisms.hedging;
     if (isOver || this.request.route.execution !== 'repeatable' || !this.hasAttemptsLeft)
@@ -100,24 +117,24 @@
     return this.startFurtherAttempt(this.context.shares);
   }
 
-  /** Sendings so far. */
+  /** Number of attempts so far. */
   get sends(): number {
     return this.attempts.length;
   }
 
-  /** Ends the race and every attempt that is still in flight; `reason` stands where there is none. */
+  /** Ends the race and abandons its attempts; `reason` is reported if any was in flight. */
   cancel(reason: string): void {
     if (this.inFlight.size > 0) this.tally.reason = reason;
     this.outcome ??= this.failure();
     this.abandonInFlight();
   }
 
-  /** Whether a request that is given up now may have run, or may still run. */
+  /** Whether the request may have run, or may still run. */
   get mayRun(): boolean {
     return this.tally.mayHaveRun || [...this.inFlight].some(({ isConnected }) => isConnected);
   }
 
-  /** Whether it was written to a connection to some replica. */
+  /** Whether the request was written to a connection to any replica. */
   get wasSent(): boolean {
     return this.attempts.some(({ connectedAt }) => connectedAt !== undefined);
   }
@@ -136,8 +153,9 @@
   }
 
   /**
-   * Sends to a further replica; `budget` is asked for it unless what came before never arrived.
-   * True when it was sent, waits for a trial of the request, or is refused for good.
+   * Starts an attempt at a further replica, taken from `budget` if one is passed. Returns true if
+   * it was sent, if it waits for a trial of the request, or if the race ended because the request
+   * is quarantined.
    */
   private startFurtherAttempt(budget: FleetShares | undefined): boolean {
     const target = this.candidates.choose();
@@ -150,7 +168,9 @@
     return isFirst || this.options.maySendAgain?.() !== false;
   }
 
-  /** For the first time; as {@link ReplicaRace.startFurtherAttempt}. */
+  /**
+   * Starts the first attempt, without budget; returns as {@link ReplicaRace.startFurtherAttempt}.
+   */
   private startFirstAttempt(): boolean {
     const target = this.candidates.choose();
     return target !== undefined && this.sendIfAdmitted(target, undefined);
@@ -173,7 +193,9 @@
     return isWithinBudget;
   }
 
-  /** What is in flight ends at once: a replica that drops it in time does not end under it. */
+  /**
+   * Aborts attempts immediately: a replica that drops the request in time does not crash from it.
+   */
   private failQuarantined(): void {
     this.tally.reason = QUARANTINED;
     const outcome = this.failure();
@@ -181,7 +203,7 @@
     this.finish(outcome);
   }
 
-  /** A trial of the request has ended, or it was cleared or quarantined. */
+  /** Called when a trial of the request has ended, or the request was cleared or quarantined. */
   private readonly onQuarantineUpdate = (): void => {
     if (this.outcome !== undefined) return;
     const { crashGuard } = this.context;
@@ -221,7 +243,8 @@
     if (isConnectionLost(result)) {
       this.context.decisions.connectionLost(this.request, this.service, record);
     }
-    // Its own result is no news to it: woken for it, it would go on before it has taken it.
+    // Unsubscribed first: recordCrashEvidence ends the trial, and the callback would continue the race
+    // before this result is recorded.
     if (isTrial)
       this.context.crashGuard.cancelNews(this.request.fingerprint, this.onQuarantineUpdate);
     recordCrashEvidence(this.context, { request: this.request, target, result, isTrial });
@@ -239,7 +262,7 @@
     if (mayRunLater) this.candidates.markNotRun(target);
   }
 
-  /** After an attempt that brought no answer: another one, the wait for those in flight, or the end. */
+  /** After an unsuccessful attempt: starts another, waits for those in flight, or ends the race. */
   private continueAfter(result: AttemptResult): void {
     if (this.mayRetryAfter(result)) {
       if (this.startFurtherAttempt(this.budgetAfter(result))) return;
@@ -256,13 +279,16 @@
     return isAllowed && this.hasAttemptsLeft;
   }
 
-  /** What never reached a replica costs the replicas nothing when it is sent again. */
+  /** A retry needs no budget if the attempt never reached a replica, as it adds no load. */
   private budgetAfter(result: AttemptResult): FleetShares | undefined {
     const neverArrived = result.kind === 'notRun' && result.reason === NotRunReason.Unreachable;
     return neverArrived ? undefined : this.context.shares;
   }
 
-  /** Tries the replicas that did not run it once more after a pause; false when it is too late. */
+  /**
+   * Schedules a retry at the replicas that did not run the request; false if the retry deadline
+   * would pass.
+   */
   private scheduleRetry(result: AttemptResult): boolean {
     const { clock, random } = this.context.environment;
     const delay = FIRST_RETRY_DELAY_MS * 2 ** this.retryDelays * (0.5 + random.nextFloat());
--- a/src/gateway/replica-target.ts
+++ b/src/gateway/replica-target.ts
@@ -1,4 +1,4 @@
-/** One replica as this gateway sends to it: its connections and what was observed of it. */
+/** A replica as a destination of this gateway: its HTTP client and its observed state. */
 import type { ReplicaEntry } from '../directory/replica-entry.js';
 import type { HttpClient } from '../seams/http.js';
 import type { ColdSendLimiter } from './cold-send-limiter.js';
@@ -9,53 +9,56 @@
 
 /** Weight of a new sample in the average of {@link ReplicaTarget.slownessAt}. */
 const SAMPLE_WEIGHT = 0.35;
-/** What was learned counts half after this long, so that a replica that recovered is found. */
+/** Half-life of the observed slowness, so that a recovered replica is used again. */
 const HALF_LIFE_MS = 4_000;
-/** Replicas pause for moments; longer than this is something else. */
+/** Replicas pause briefly; attempts left unfinished for longer indicate a slow replica. */
 const MAXIMUM_PAUSE_MS = 300;
-/** By how much the time that an attempt was waited for is taken to fall short. */
+/** Estimated ratio of the real latency of an unfinished attempt to the time waited for it. */
 const UNFINISHED_FACTOR = 2;
 const MAXIMUM_UNFINISHED_ESTIMATE = 8;
-/** A connection is taken to stay open this long after its last use. */
+/** Time after its last use during which a connection is assumed to be open. */
 const CONNECTION_WARM_MS = 6_000;
-/** Another replica answered at its address: it has ended, and nobody said so. It is let be for so long. */
+/**
+ * How long a replica is excluded after another one answered at its address. It has ended, but its
+ * end was not announced.
+ */
 const REPLACED_EXCLUSION_MS = 60_000;
 
-/** See the module comment. */
+/** State of one replica as seen by this gateway. Times are clock readings in milliseconds. */
 export class ReplicaTarget {
-  /** What it last said of its load. */
+  /** The latest load report; undefined before the first. */
   load: ReportedLoad | undefined;
-  /** When a connection that rests until then is used once; see `connection-warmer.ts`. */
+  /** When the next health check of `connection-warmer.ts` is due if no request is sent before. */
   nextWarmCheckAt = -Infinity;
-  /** Suspected requests that are being tried on it. */
+  /** Number of suspected requests on trial at this replica. */
   trialsInFlight = 0;
-  /** Health checks since it was last used. */
+  /** Health checks since the last request. */
   unusedChecks = 0;
-  /** Whether it said that it leaves, or was not heard of for so long that it was forgotten. */
+  /** Whether it announced its departure, or was removed after missing heartbeats for too long. */
   hasLeft = false;
-  /** The replica that registered at its address or under its id later; undefined while none has. */
+  /** The replica that registered later at this address or under this id, if any. */
   successor: ReplicaTarget | undefined;
-  /** The replica that had its address before, if it was not said to have left. */
+  /** The previous replica at this address, unless it has left. */
   predecessor: ReplicaTarget | undefined;
-  /** Until when it is taken to be full, as it refused a request. Clock reading. */
+  /** Until when the replica is assumed to be full after it refused a request. */
   fullUntil = -Infinity;
-  /** Tells attempts in flight that another replica has its address. */
+  /** Notifies attempts in flight that another replica has taken over the address. */
   readonly replacement = new ReplacementSignal();
   private readonly attempts = new AttemptsInFlight();
   private readonly backoff = new FailureBackoff();
   private slowness = 1;
   private sampledAt = -Infinity;
   private replacedUntil = -Infinity;
-  /** First of the attempts without an answer, of those since the last answer. */
+  /** When the first unfinished attempt since the last answer was recorded. */
   private unfinishedSince: number | undefined;
 
   constructor(
     public entry: ReplicaEntry,
     readonly client: HttpClient,
     readonly address: string,
-    /** Until when it is slow from its start, or has turned cold again. Clock reading. */
+    /** Until when the replica is cold, after its start or after turning cold again. */
     public coldUntil: number,
-    /** When it may be sent to while it is cold. */
+    /** Limits attempts while the replica is cold. */
     readonly coldSendLimiter: ColdSendLimiter,
   ) {}
 
@@ -63,7 +66,7 @@
     return this.attempts.count;
   }
 
-  /** Notes an attempt and gives the number that {@link ReplicaTarget.end} takes. */
+  /** Adds an attempt and returns its number for {@link ReplicaTarget.end}. */
   begin(now: number): number {
     this.nextWarmCheckAt = Math.max(this.nextWarmCheckAt, now + CONNECTION_WARM_MS);
     return this.attempts.begin(now);
@@ -73,18 +76,18 @@
     this.attempts.end(attempt);
   }
 
-  /** How long the oldest attempt in flight has been waiting. Milliseconds. */
+  /** Age of the oldest attempt in flight; 0 if there is none. */
   oldestWait(now: number): number {
     return this.attempts.oldestWait(now);
   }
 
-  /** Time it takes for a request over what is usual; 1 when nothing is known. */
+  /** Expected latency divided by the median latency; 1 if nothing is known. */
   slownessAt(now: number): number {
     const weight = 0.5 ** ((now - this.sampledAt) / HALF_LIFE_MS);
     return 1 + (this.slowness - 1) * weight;
   }
 
-  /** It took `ratio` times the usual time. */
+  /** Records an answer that took `ratio` times the median latency. */
   recordLatency(ratio: number, now: number): void {
     const before = this.slownessAt(now);
     this.slowness = before + (ratio - before) * SAMPLE_WEIGHT;
@@ -92,9 +95,9 @@
   }
 
   /**
-   * It had not answered after `ratio` times the usual time. Once may be a pause;
-   * a replica that goes on so for longer than pauses last is slow, by how much is
-   * not known, as nobody waited for its answers.
+   * Records an attempt that was cancelled after `ratio` times the median latency. One such attempt
+   * may be a pause. A replica that leaves attempts unfinished for longer than a pause is slow; how
+   * slow has to be estimated, as its answers were not awaited.
    */
   recordUnfinished(ratio: number, now: number): void {
     if (this.unfinishedSince === undefined) this.unfinishedSince = now;
@@ -109,23 +112,26 @@
     }
   }
 
-  /** It answered: it can be used. */
+  /** Records that the replica answered: ends its backoff and the series of unfinished attempts. */
   recordSuccess(): void {
     this.unfinishedSince = undefined;
     this.backoff.recordSuccess();
   }
 
-  /** It could not be reached, or what it sent was no answer. */
+  /**
+   * Records that the replica was unreachable or sent no valid answer; starts or extends its
+   * backoff.
+   */
   recordFailure(now: number): void {
     this.backoff.recordFailure(now);
   }
 
-  /** It says that it is cold for `warmupMs` more; 0 when it is not, which may also be old word. */
+  /** Records a reported remaining warmup time. Zero is ignored, as the report may be outdated. */
   recordWarmup(warmupMs: number, now: number): void {
     if (warmupMs > 0) this.coldUntil = Math.max(this.coldUntil, now + warmupMs);
   }
 
-  /** Another replica has its address now. */
+  /** Excludes the replica for a while because another one answered at its address. */
   markReplaced(now: number): void {
     this.replacedUntil = now + REPLACED_EXCLUSION_MS;
   }
@@ -134,7 +140,7 @@
     return now < this.replacedUntil;
   }
 
-  /** Whether its address is another replica's, by that one's registration or answers. */
+  /** Whether another replica has the address, according to its registration or answers. */
   hasLostAddress(now: number): boolean {
     return this.successor !== undefined || this.isReplaced(now);
   }
--- a/src/gateway/reported-load.ts
+++ b/src/gateway/reported-load.ts
@@ -1,23 +1,28 @@
-/** What a replica says of its load in a header of its answers. */
+/** Parses the load report that replicas send in a header of their answers. */
 
-/** See the module comment. */
+/** Requests and slots of a replica at one moment. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How long work takes at the replica at that moment over what is usual; 1 when it does not say. */
+  /**
+   * Current duration of work at the replica as a multiple of the usual duration; 1 if not reported.
+   */
   readonly workFactor: number;
-  /** When the gateway read it. Clock reading, milliseconds. */
+  /** When the gateway read the report. Clock reading, milliseconds. */
   readonly at: number;
 }
 
-/** Running, waiting and slots are in every report; figures after the fourth are not used. */
+/** Every report has running, waiting and slots; numbers after the fourth are ignored. */
 const REQUIRED_NUMBERS = 3;
 const NUMBER_PATTERN = /^\d{1,9}$/;
-/** Replicas give the time that work takes in percent of the usual time. */
+/** The fourth number is the duration of work in percent of the usual duration. */
 const USUAL_WORK_PERCENT = 100;
 
-/** Undefined when `text` is no report: too few figures, or something else than whole numbers. */
+/**
+ * Returns undefined if `text` has fewer than three numbers or anything else than non-negative
+ * integers.
+ */
 export function parseReportedLoad(text: string, at: number): ReportedLoad | undefined {
   const numbers = text.split(',').map((figure) => figure.trim());
   const isReport =
--- a/src/gateway/retry-schedule.ts
+++ b/src/gateway/retry-schedule.ts
@@ -1,49 +1,45 @@
 /**
- * When callers that were refused are told to come back: when room is expected, one after the other.
- * It answers bursts whose refused callers come back together and find the queues full again.
+ * Schedules the retries of refused callers, one after the other from the time at which capacity is
+ * expected. Otherwise callers refused in a burst would retry together and find the queues full
+ * again.
  */
 import type { RandomSource } from '../seams/random-source.js';
 
-/** Most of the time to its deadline that a caller is told to stay away. */
+/** Longest retry delay, as a share of the time to the caller's deadline. */
 const MAXIMUM_SHARE_OF_REMAINING = 0.3;
-/** Below this a caller gains nothing by waiting. Milliseconds. */
+/** Shorter delays gain a caller nothing. */
 const MINIMUM_RETRY_AFTER_MS = 20;
 const MAXIMUM_SERVICES = 10_000;
 
-/** One refused request. Clock readings and milliseconds. */
+/** Timing of one refused request. Durations are milliseconds. */
 export interface RefusedRequestTiming {
   readonly service: string;
+  /** Clock reading. */
   readonly now: number;
-  /** Until room for one request is expected. */
+  /** Time until capacity for one request is expected. */
   readonly availableIn: number;
-  /** In which room for one more request comes about. */
+  /** Mean time between slots becoming free. */
   readonly interval: number;
-  /** To the caller's deadline. */
+  /** Time until the caller's deadline. */
   readonly remaining: number;
 }
 
-/** See the module comment. */
+/** Retry schedule of one gateway; services are independent of each other. */
 export class RetrySchedule {
-  /** Turn of the caller that was told last, by service. Clock reading. */
+  /** Scheduled retry of the last refused caller, by service. Clock readings. */
   private readonly lastRetryAt = new Map<string, number>();
 
   constructor(private readonly random: RandomSource) {}
 
-  /** After how long the caller may come back. Milliseconds. */
-  next({
-    service,
-    now,
-    availableIn: availableIn,
-    interval,
-    remaining,
-  }: RefusedRequestTiming): number {
+  /** Returns the delay after which the caller may retry. Milliseconds. */
+  next({ service, now, availableIn, interval, remaining }: RefusedRequestTiming): number {
     const afterOthers = (this.lastRetryAt.get(service) ?? -Infinity) + interval;
     const retryAt = Math.max(now + availableIn, afterOthers);
     if (this.lastRetryAt.size >= MAXIMUM_SERVICES) this.lastRetryAt.clear();
     const maximum = Math.max(MINIMUM_RETRY_AFTER_MS, remaining * MAXIMUM_SHARE_OF_REMAINING);
-    // Nobody is told a turn beyond it, so that the turns do not run away from the callers.
+    // Bounded, so that scheduled times don't move ever further beyond the delays that callers get.
     this.lastRetryAt.set(service, Math.min(retryAt, now + maximum));
-    // Other gateways tell their callers the same: spread over as long again.
+    // Other gateways schedule their callers alike: randomize over up to twice the delay.
     const delay = (retryAt - now) * (1 + this.random.nextFloat());
     return Math.min(maximum, Math.max(MINIMUM_RETRY_AFTER_MS, delay));
   }
--- a/src/gateway/route-latencies.ts
+++ b/src/gateway/route-latencies.ts
@@ -1,17 +1,17 @@
-/** The {@link RouteLatency} of every route, kept across versions of the route document. */
+/** Keeps the {@link RouteLatency} of every route across versions of the route document. */
 import type { Route } from '../routes/route-document.js';
 import { RouteLatency } from './route-latency.js';
 
-/** Stands in for a target where the route names none. Part of its timeout. */
+/** Target latency of a route that sets none, as a share of its timeout. */
 const DEFAULT_TARGET_SHARE_OF_TIMEOUT = 0.25;
 const MAXIMUM_ROUTES = 10_000;
 
-/** The time within which an answer of the route is of full use. Milliseconds. */
+/** Latency within which an answer of the route has its full value. Milliseconds. */
 export function targetLatencyOf(route: Route): number {
   return route.targetLatencyMs ?? route.timeoutMs * DEFAULT_TARGET_SHARE_OF_TIMEOUT;
 }
 
-/** See the module comment. */
+/** Latency statistics by host and path prefix. */
 export class RouteLatencies {
   private readonly byRoute = new Map<string, RouteLatency>();
 
--- a/src/gateway/route-latency.ts
+++ b/src/gateway/route-latency.ts
@@ -1,20 +1,22 @@
-/** How long the attempts of one route usually take, learned from those that ended and those given up. */
+/** Latency quantiles of one route's attempts, learned from finished and cancelled ones. */
 import { LatencyDigest } from '../policies/latency-digest.js';
 
 const WINDOW_SAMPLES = 400;
-/** Below this many samples the route's target stands in: two gathers of a leaf. */
+/**
+ * With fewer samples, shares of the target latency are used. As many as two gathers of a leaf give.
+ */
 const MINIMUM_SAMPLES = 16;
 const REFRESH_INTERVAL_SAMPLES = 16;
 const MEDIAN_QUANTILE = 0.5;
 const HEDGE_QUANTILE = 0.9;
 
-/** Parts of the target latency that stand in for what is not known yet, or bound it. */
+/** Shares of the target latency: initial values and the upper bound of the hedge delay. */
 const INITIAL_MEDIAN_SHARE = 0.15;
 const INITIAL_HEDGE_SHARE = 0.3;
 const MAXIMUM_HEDGE_SHARE = 0.38;
 const MINIMUM_HEDGE_OVER_MEDIAN = 1.4;
 
-/** See the module comment. Durations are milliseconds. */
+/** Median latency and hedge delay of one route. Durations are milliseconds. */
 export class RouteLatency {
   private readonly digest = new LatencyDigest(WINDOW_SAMPLES);
   private sinceRefresh = 0;
@@ -26,12 +28,12 @@
     this.hedgeTime = target * INITIAL_HEDGE_SHARE;
   }
 
-  /** Median time of an attempt. */
+  /** Median latency of an attempt. */
   get median(): number {
     return this.medianTime;
   }
 
-  /** Time after which an attempt is unusually late. */
+  /** Time after which an attempt is late and should be hedged. */
   get hedgeDelay(): number {
     return this.hedgeTime;
   }
@@ -55,7 +57,7 @@
     const hedgeQuantile = this.digest.quantile(HEDGE_QUANTILE);
     const maximum = this.target * MAXIMUM_HEDGE_SHARE;
     const minimum = this.medianTime * MINIMUM_HEDGE_OVER_MEDIAN;
-    // Where all attempts take long, none of them is late, and a second one makes them longer.
+    // If all attempts are slow, none of them is late, and hedges would only slow them further.
     this.hedgeTime = Math.max(Math.min(hedgeQuantile, maximum), minimum);
   }
 }
--- a/src/gateway/service-targets.ts
+++ b/src/gateway/service-targets.ts
@@ -1,7 +1,7 @@
 /**
- * The replicas of every service, kept in step with the directory, and which of them
- * may get new work: not those of an evacuated zone, nor one at whose address another
- * replica has registered since.
+ * Maintains the replicas of every service from the directory, and which of them may get new
+ * requests. Replicas in an evacuated zone and replicas at whose address another one has registered
+ * since get none.
  */
 import { observe } from '../control-stream/observe.js';
 import type { ReplicaDirectory } from '../directory/replica-directory.js';
@@ -11,21 +11,24 @@
 import { ColdSendLimiter } from './cold-send-limiter.js';
 import { ReplicaTarget } from './replica-target.js';
 
-/** Most connections of this gateway to one replica, whatever the shares say. */
+/** Maximum connections of this gateway to one replica, whatever its fleet share allows. */
 const MAXIMUM_CONNECTIONS = 16;
 const CONNECT_TIMEOUT_MS = 400;
 const KEEP_ALIVE_MS = 30_000;
 const MAXIMUM_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-/** In which a gateway that starts hears of the replicas: two of their heartbeats. Milliseconds. */
+/** Time after the start in which a gateway discovers replicas: two heartbeat intervals. */
 const DISCOVERY_MS = 3_000;
 
 const NO_TARGETS: readonly ReplicaTarget[] = [];
 
-/** Whether two entries of one replica are of one process; one that moved is taken for another. */
+/**
+ * Whether two entries of one replica id describe the same process; another address or service means
+ * another process.
+ */
 function isSameProcess(known: ReplicaEntry, entry: ReplicaEntry): boolean {
   const isSamePlace = known.address === entry.address && known.service === entry.service;
-  // Until the start of a life is known, it is the one that is known.
+  // While the incarnation of the known entry is unknown, the entries count as the same.
   const isSameLife = known.bornAt === undefined || lifeIdOf(known) === lifeIdOf(entry);
   return isSamePlace && isSameLife;
 }
@@ -33,11 +36,11 @@
 /** The replicas of one service. */
 interface ServiceGroup {
   readonly all: readonly ReplicaTarget[];
-  /** Those that may get new work. */
+  /** Replicas that may get new requests. */
   readonly usable: readonly ReplicaTarget[];
 }
 
-/** See the module comment. */
+/** Replicas of all services, by service. */
 export class ServiceTargets {
   private readonly byId = new Map<string, ReplicaTarget>();
   private readonly byAddress = new Map<string, ReplicaTarget>();
@@ -56,27 +59,30 @@
     observe(directory.forgotten, (replicaId) => this.forget(replicaId));
   }
 
-  /** Replicas of the service that may get new work. */
+  /** Replicas of the service that may get new requests. */
   of(service: string): readonly ReplicaTarget[] {
     return this.groups.get(service)?.usable ?? NO_TARGETS;
   }
 
-  /** All replicas that may get new work. */
+  /** Replicas of all services that may get new requests. */
   *all(): IterableIterator<ReplicaTarget> {
     for (const { usable } of this.groups.values()) yield* usable;
   }
 
-  /** Whether the replica is registered and has not said that it leaves; one that crashed says nothing. */
+  /**
+   * Whether the replica has neither announced its departure nor been removed; a crash announces
+   * nothing.
+   */
   isRegistered(target: ReplicaTarget): boolean {
     return !target.hasLeft;
   }
 
-  /** Replicas that may get new work, of all services. */
+  /** Number of replicas that may get new requests, over all services. */
   get size(): number {
     return this.usableCount;
   }
 
-  /** Sends nothing new to replicas of these zones; requests in flight go on to their end. */
+  /** Excludes replicas of these zones from new requests; requests in flight continue. */
   setEvacuatedZones(zones: ReadonlySet<string>): void {
     this.evacuatedZones = zones;
     for (const [service, { all }] of this.groups) {
@@ -85,24 +91,26 @@
     }
   }
 
-  /** Whether the gateway has just started, and may hear of replicas any moment. */
+  /** Whether the gateway has just started and is still discovering replicas. */
   get isDiscovering(): boolean {
     return this.environment.clock.now() - this.startedAt < DISCOVERY_MS;
   }
 
-  /** Calls `callback` once, when a replica of the service has room again or a new one is known. */
+  /** Calls `callback` once, when a replica of the service has capacity again or becomes known. */
   onceCapacity(service: string, callback: () => void): void {
     const callbacks = this.capacityCallbacks.get(service) ?? new Set();
     callbacks.add(callback);
     this.capacityCallbacks.set(service, callbacks);
   }
 
-  /** The callback is no longer wanted. */
+  /** Removes a callback of {@link ServiceTargets.onceCapacity}. */
   cancelCapacity(service: string, callback: () => void): void {
     this.capacityCallbacks.get(service)?.delete(callback);
   }
 
-  /** A replica of the service has room again: wakes those that wait, in the order they came. */
+  /**
+   * Calls the callbacks waiting for capacity of the service, in the order in which they were added.
+   */
   notifyCapacity(service: string): void {
     const callbacks = this.capacityCallbacks.get(service);
     if (callbacks === undefined || callbacks.size === 0) return;
@@ -121,7 +129,7 @@
   private apply(entry: ReplicaEntry): void {
     const known = this.byId.get(entry.replicaId);
     if (entry.state !== RegisteredState.Ready) {
-      // A later life that leaves says nothing of how the known one ended.
+      // The departure of a later incarnation does not tell how the known one ended.
       const isSameLife = known !== undefined && isSameProcess(known.entry, entry);
       if (isSameLife) known.hasLeft = true;
       this.remove(entry.replicaId);
@@ -156,8 +164,9 @@
   }
 
   /**
-   * A process that crashed may still be known, or be told of by a heartbeat that was
-   * delayed, when another one has its address: the one that registered there last has it.
+   * Assigns an address to the replica that registered there last. A crashed process may still be
+   * registered, or be reported by a delayed heartbeat, after another one has taken over its
+   * address.
    */
   private takeOverAddress(target: ReplicaTarget): void {
     const earlier = this.byAddress.get(target.address);
@@ -171,8 +180,8 @@
   }
 
   /**
-   * Another replica answered at the target's address. Where the target was told of later
-   * than that replica, its word was old, and the address is the other one's again.
+   * Handles an answer from another replica at the target's address. If the target had taken over
+   * the address from a known replica, its registration was outdated, and the address is given back.
    */
   markReplaced(target: ReplicaTarget): void {
     target.markReplaced(this.environment.clock.now());
@@ -185,7 +194,7 @@
     this.refreshGroup(predecessor.entry.service);
   }
 
-  /** Undefined when what was registered is no address. */
+  /** Returns undefined if the registered address is invalid. */
   private create(entry: ReplicaEntry): ReplicaTarget | undefined {
     const { clock, network, random } = this.environment;
     try {
@@ -203,7 +212,7 @@
     }
   }
 
-  /** Attempts in flight go on to their end. */
+  /** Removes a replica; its attempts in flight continue. */
   private remove(replicaId: string): void {
     const target = this.byId.get(replicaId);
     if (target === undefined) return;
--- a/src/gateway/single-admission.ts
+++ b/src/gateway/single-admission.ts
@@ -1,4 +1,7 @@
-/** Whether a request to one service is offered to its replicas, and when its caller may come back. */
+/**
+ * Decides whether a request to a single service is sent to its replicas, and when a refused caller
+ * may retry.
+ */
 import type { CallerRequest } from './caller-request.js';
 import { shortestBusyWait, refusalReason, slotInterval, type WaitQuery } from './expected-wait.js';
 import type { GatewayContext } from './gateway-context.js';
@@ -13,32 +16,32 @@
   return {
     targets: regions.permitted(request.route, targets.of(service)),
     medianLatency: latencies.of(request.route).median,
-    sendDeadline: sendDeadline,
+    sendDeadline,
     deadline: request.deadline,
     now: environment.clock.now(),
   };
 }
 
-/** See the module comment. Of one request. */
+/** Admission of one request. */
 export class SingleAdmission {
   constructor(
     private readonly context: GatewayContext,
     private readonly request: CallerRequest,
     private readonly service: string,
-    /** Until when the request may wait for an offer. Clock reading. */
+    /** Until when the request may wait to be sent. Clock reading. */
     private readonly sendDeadline: number,
   ) {}
 
-  /** Why it is refused at once; undefined when it is offered. */
+  /** Why the request is refused immediately; undefined if it is admitted. */
   get refusal(): string | undefined {
     return this.context.mechanisms.expectedWait ? refusalReason(this.query) : undefined;
   }
 
-  /** When its caller may come back; undefined where nothing is known of it. Milliseconds. */
+  /** Delay after which the caller may retry; undefined if it can't be estimated. Milliseconds. */
   get retryAfterMs(): number | undefined {
     if (!this.context.mechanisms.expectedWait) return undefined;
     const { query, service } = this;
-    const { targets, medianLatency: medianLatency, deadline, now } = query;
+    const { targets, medianLatency, deadline, now } = query;
     const availableIn = shortestBusyWait(query);
     if (availableIn === undefined) return undefined;
     const rate = targets.reduce(
--- a/src/gateway/split-chooser.ts
+++ b/src/gateway/split-chooser.ts
@@ -1,19 +1,19 @@
 /**
- * Shares a route's requests among services in proportion to their weights: smooth
- * weighted round robin, so that the proportion holds over short spans too. Each
- * gateway begins at a place in the round that is drawn by chance, or many gateways
- * that see few requests each would all send theirs to the heaviest service. The
- * round goes on when a new version of the routes leaves the split alone.
+ * Distributes a route's requests among services in proportion to their weights, by smooth weighted
+ * round robin, so that the proportion holds over short periods too. Each gateway starts at a random
+ * position in the round; otherwise many gateways with few requests each would all choose the
+ * service with the highest weight. The round continues when a new version of the route document
+ * leaves the split unchanged.
  */
 import type { Route, SplitPart } from '../routes/route-document.js';
 import type { RandomSource } from '../seams/random-source.js';
 
-/** Longest way into the round at which a gateway begins; covers weights in percent. */
+/** Upper bound of the random start position; covers weights in percent. */
 const MAXIMUM_START_OFFSET = 100;
-/** Splits whose rounds are kept; far above what a route document holds. */
+/** Number of rounds kept; far more than a route document has splits. */
 const MAXIMUM_SPLITS = 10_000;
 
-/** The running balance of each service of a split. */
+/** Smooth weighted round robin over the services of one split. */
 class WeightedRound {
   private readonly balances = new Map<string, number>();
 
@@ -35,7 +35,7 @@
   }
 }
 
-/** See the module comment. */
+/** Split decisions of one gateway. */
 export class SplitChooser {
   private readonly rounds = new Map<string, WeightedRound>();
 
