--- a/src/gateway/connect-timeouts.ts
+++ b/src/gateway/connect-timeouts.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * Timeout of one connection attempt. `unsentFor` is how long the request has waited without being
+ * Timeout for opening one connection. `unsentFor` is how long the request has waited without being
  * written to any connection; undefined once it was. All times are milliseconds.
  */
 export function connectTimeout(targetLatency: number, unsentFor: number | undefined): number {
--- a/src/gateway/expected-wait.ts
+++ b/src/gateway/expected-wait.ts
@@ -11,8 +11,8 @@
 const LOAD_VALID_MS = 1_000;
 
 /**
- * The time limits of a request and its candidate replicas. Times are clock readings in
- * milliseconds.
+ * The time limits of a request and its candidate replicas. Points in time are clock readings;
+ * durations are milliseconds.
  */
 export interface WaitQuery {
   readonly targets: readonly ReplicaTarget[];
@@ -47,7 +47,7 @@
 }
 
 /**
- * Expected time until the replica starts processing a request sent now; not positive without a
+ * Expected time until the replica starts processing a request sent now; 0 without a
  * queue. Milliseconds.
  */
 export function expectedWait(target: ReplicaTarget, medianLatency: number, now: number): number {
--- a/src/gateway/overload-shedding.ts
+++ b/src/gateway/overload-shedding.ts
@@ -9,8 +9,8 @@
 /** Load reports after which the admitted part is adjusted. */
 const REPORTS_PER_WINDOW = 100;
 /**
- * Above this share of reports with a long queue, the admitted part is multiplied by {@link
- * DECREASE_FACTOR}.
+ * Above this share of reports with a long queue, the admitted part is multiplied by
+ * {@link DECREASE_FACTOR}.
  */
 const OVERLOADED_SHARE = 0.6;
 const DECREASE_FACTOR = 0.82;
--- a/src/gateway/replacement-signal.ts
+++ b/src/gateway/replacement-signal.ts
@@ -1,7 +1,7 @@
 /**
- * Notifies attempts in flight that another replica has taken over the address of theirs. When a
- * machine loses power or network, nothing resets its connections, and a request that must not be
- * retried would wait until its deadline.
+ * Notifies attempts in flight that another replica has taken over the address of their replica.
+ * When a machine loses power or network, nothing resets its connections, and a request that must
+ * not be retried would wait until its deadline.
  */
 
 /** Time for data that a replica sent before it ended to arrive after its replacement is known. */
--- a/src/gateway/replica-candidates.ts
+++ b/src/gateway/replica-candidates.ts
@@ -16,8 +16,8 @@
 /** Candidate replicas of one race. */
 export class ReplicaCandidates {
   /**
-   * Replicas excluded from further attempts, some of them only until {@link
-   * ReplicaCandidates.readmitNotRun}.
+   * Replicas excluded from further attempts, some of them only until
+   * {@link ReplicaCandidates.readmitNotRun}.
    */
   private readonly tried = new Set<ReplicaTarget>();
   private readonly notRunBy = new Set<ReplicaTarget>();
@@ -47,7 +47,7 @@
    */
   chooseForTrial(target: ReplicaTarget): ReplicaTarget {
     if (target.trialsInFlight === 0) return target;
-    const onTrial = this.permitted.filter(({ trialsInFlight: trials }) => trials > 0);
+    const onTrial = this.permitted.filter(({ trialsInFlight }) => trialsInFlight > 0);
     return this.chooseExcept(new Set([...this.tried, ...onTrial])) ?? target;
   }
 
--- a/src/gateway/replica-choice.ts
+++ b/src/gateway/replica-choice.ts
@@ -92,12 +92,12 @@
   }
 
   private isColdLimited(
-    { coldUntil: warmUntil, coldSendLimiter: coldSends }: ReplicaTarget,
+    { coldUntil, coldSendLimiter }: ReplicaTarget,
     { coldSendInterval }: ChoiceQuery,
     now: number,
   ): boolean {
-    const isBounded = now < warmUntil && Number.isFinite(coldSendInterval);
-    return isBounded && !coldSends.allows(now, coldSendInterval);
+    const isBounded = now < coldUntil && Number.isFinite(coldSendInterval);
+    return isBounded && !coldSendLimiter.allows(now, coldSendInterval);
   }
 
   /** Cost of choosing `target`, as a fraction of the value of one timely answer. */
--- a/src/gateway/replica-race.ts
+++ b/src/gateway/replica-race.ts
@@ -243,8 +243,8 @@
     if (isConnectionLost(result)) {
       this.context.decisions.connectionLost(this.request, this.service, record);
     }
-    // Unsubscribed first: recordCrashEvidence ends the trial, and the callback would continue the race
-    // before this result is recorded.
+    // Unsubscribed first: recordCrashEvidence may end the trial, and the callback would continue
+    // the race before this result is recorded.
     if (isTrial)
       this.context.crashGuard.cancelNews(this.request.fingerprint, this.onQuarantineUpdate);
     recordCrashEvidence(this.context, { request: this.request, target, result, isTrial });
--- a/src/gateway/reported-load.ts
+++ b/src/gateway/reported-load.ts
@@ -24,9 +24,9 @@
  * integers.
  */
 export function parseReportedLoad(text: string, at: number): ReportedLoad | undefined {
-  const numbers = text.split(',').map((figure) => figure.trim());
+  const numbers = text.split(',').map((field) => field.trim());
   const isReport =
-    numbers.length >= REQUIRED_NUMBERS && numbers.every((figure) => NUMBER_PATTERN.test(figure));
+    numbers.length >= REQUIRED_NUMBERS && numbers.every((field) => NUMBER_PATTERN.test(field));
   if (!isReport) return undefined;
   const [running = 0, waiting = 0, slots = 0, workPercent = USUAL_WORK_PERCENT] =
     numbers.map(Number);
--- a/src/gateway/route-latency.ts
+++ b/src/gateway/route-latency.ts
@@ -2,18 +2,17 @@
 import { LatencyDigest } from '../policies/latency-digest.js';
 
 const WINDOW_SAMPLES = 400;
-/**
- * With fewer samples, shares of the target latency are used. As many as two gathers of a leaf give.
- */
+/** Samples of two gathers of a leaf; with fewer, shares of the target latency are used. */
 const MINIMUM_SAMPLES = 16;
 const REFRESH_INTERVAL_SAMPLES = 16;
 const MEDIAN_QUANTILE = 0.5;
 const HEDGE_QUANTILE = 0.9;
 
-/** Shares of the target latency: initial values and the upper bound of the hedge delay. */
+/** Shares of the target latency: initial values, and the upper bound of the hedge delay. */
 const INITIAL_MEDIAN_SHARE = 0.15;
 const INITIAL_HEDGE_SHARE = 0.3;
 const MAXIMUM_HEDGE_SHARE = 0.38;
+/** Lower bound of the hedge delay, as a multiple of the median. */
 const MINIMUM_HEDGE_OVER_MEDIAN = 1.4;
 
 /** Median latency and hedge delay of one route. Durations are milliseconds. */
--- a/src/gateway/service-targets.ts
+++ b/src/gateway/service-targets.ts
@@ -27,10 +27,10 @@
  * another process.
  */
 function isSameProcess(known: ReplicaEntry, entry: ReplicaEntry): boolean {
-  const isSamePlace = known.address === entry.address && known.service === entry.service;
+  const isSameEndpoint = known.address === entry.address && known.service === entry.service;
   // While the incarnation of the known entry is unknown, the entries count as the same.
-  const isSameLife = known.bornAt === undefined || lifeIdOf(known) === lifeIdOf(entry);
-  return isSamePlace && isSameLife;
+  const isSameIncarnation = known.bornAt === undefined || lifeIdOf(known) === lifeIdOf(entry);
+  return isSameEndpoint && isSameIncarnation;
 }
 
 /** The replicas of one service. */
@@ -130,8 +130,8 @@
     const known = this.byId.get(entry.replicaId);
     if (entry.state !== RegisteredState.Ready) {
       // The departure of a later incarnation does not tell how the known one ended.
-      const isSameLife = known !== undefined && isSameProcess(known.entry, entry);
-      if (isSameLife) known.hasLeft = true;
+      const isSameIncarnation = known !== undefined && isSameProcess(known.entry, entry);
+      if (isSameIncarnation) known.hasLeft = true;
       this.remove(entry.replicaId);
       return;
     }
@@ -204,9 +204,9 @@
         connectTimeout: CONNECT_TIMEOUT_MS,
         keepAliveTimeout: KEEP_ALIVE_MS,
       });
-      const coldSends = new ColdSendLimiter(random.nextFloat());
-      const warmUntil = clock.now() + entry.warmupMs;
-      return new ReplicaTarget(entry, client, entry.address, warmUntil, coldSends);
+      const coldSendLimiter = new ColdSendLimiter(random.nextFloat());
+      const coldUntil = clock.now() + entry.warmupMs;
+      return new ReplicaTarget(entry, client, entry.address, coldUntil, coldSendLimiter);
     } catch {
       return undefined;
     }
