--- a/src/gateway/attempt-sender.ts
+++ b/src/gateway/attempt-sender.ts
@@ -124,7 +124,7 @@
   private classifyResponse(request: CallerRequest, response: HttpClientResponse): AttemptResult {
     const { status, headers, body } = response;
     const carriesId = headers[this.headerNames.requestId] === request.id;
-    // Refusals are checked too: one for an earlier request may arrive late, in place of this answer.
+    // Also checked for refusals: a late one of an earlier request may arrive in this answer's place.
     if (!carriesId) return { kind: 'broken', reason: 'the answer does not name the request' };
     if (status === WRONG_REPLICA_STATUS)
       return { kind: 'notRun', reason: NotRunReason.WrongReplica };
--- a/test/gateway/answer-margin.test.ts
+++ b/test/gateway/answer-margin.test.ts
@@ -8,21 +8,21 @@
 }
 
 describe('AnswerMargin', () => {
-  it('lets an answer leave earlier the later timers run', () => {
+  it('sends an answer earlier as timer lag grows', () => {
     expect(withLag(0).cutOffDelay(140)).toBeGreaterThan(121);
     const late = withLag(15).cutOffDelay(140);
     expect(late).toBeLessThan(109);
     expect(late).toBeGreaterThan(104);
   });
 
-  it('takes at most a part of the target, and forgets what is past', () => {
+  it('is bounded by a share of the target, and shrinks once timer lag has decreased', () => {
     expect(withLag(500).cutOffDelay(100)).toBe(70);
     const margin = withLag(500);
     for (let index = 0; index < 600; index += 1) margin.recordTimerLag(1);
     expect(margin.cutOffDelay(100)).toBeGreaterThan(79);
   });
 
-  it('does not learn where that is switched off', () => {
+  it('ignores timer lag if learning is disabled', () => {
     expect(withLag(500, false).cutOffDelay(100)).toBe(82);
   });
 });
--- a/test/gateway/waiting-replay.test.ts
+++ b/test/gateway/burst-simulation.test.ts
@@ -26,7 +26,7 @@
 const WORK_MS = 114;
 const TARGET_MS = 1_002;
 const DEADLINE_MS = 8_012;
-/** The usual rate is this part of what the replicas bear. */
+/** The usual request rate as a share of the replicas' capacity. */
 const USUAL_PART = 0.5;
 const BURST_FACTOR = 2.6;
 const BURST_MS = 6_000;
@@ -66,7 +66,7 @@
 }
 
 interface Scenario {
-  /** Time that work takes at the replica of the index. Milliseconds. */
+  /** Duration of work at the replica with this index. Milliseconds. */
   readonly workMs: (index: number) => number;
   readonly fault: (index: number) => ModelFault;
 }
@@ -130,7 +130,7 @@
   };
 }
 
-/** Plays a burst of callers that come back once after a refusal, as they are told. */
+/** Simulates a burst of callers that retry once after a refusal, after the delay they got. */
 async function play(
   { workMs, fault }: Scenario,
   changed: Partial<GatewayMechanisms>,
@@ -200,23 +200,26 @@
   return { ...USUAL, fault: (index) => (index % 3 === 0 ? fault : ModelFault.None) };
 }
 
-describe('a burst to one service, played through many gateways', () => {
+describe('a burst to one service, simulated through many gateways', () => {
   const scenarios: readonly [string, Scenario][] = [
-    ['all replicas alike', USUAL],
+    ['identical replicas', USUAL],
     [
-      'a third eight times slower',
+      'a third of the replicas eight times slower',
       { ...USUAL, workMs: (index) => (index % 3 === 0 ? 8 : 1) * WORK_MS },
     ],
     ['no load reports', { ...USUAL, fault: () => ModelFault.Silent }],
-    ['reports that always say idle', { ...USUAL, fault: () => ModelFault.SaysIdle }],
-    ['a third that always says full', withFault(ModelFault.SaysFull)],
-    ['a third never answers', withFault(ModelFault.Hangs)],
-    ['a third drops opening packets', withFault(ModelFault.DropsOpenings)],
+    ['load reports that are always idle', { ...USUAL, fault: () => ModelFault.SaysIdle }],
+    ['a third of the replicas always reporting full', withFault(ModelFault.SaysFull)],
+    ['a third of the replicas never answering', withFault(ModelFault.Hangs)],
+    ['a third of the replicas dropping SYN packets', withFault(ModelFault.DropsOpenings)],
   ];
-  it.each(scenarios)('with %s serves more in time than without the bounds', async (...played) => {
-    const [before, after] = await compare(...played);
-    expect(after.requests).toBe(before.requests);
-    expect(after.inTime).toBeGreaterThan(before.inTime);
-    expect(after.slowestRefusal).toBeLessThanOrEqual(TARGET_MS / 2 + 5);
-  });
+  it.each(scenarios)(
+    'with %s answers more requests in time than without the bounds',
+    async (...played) => {
+      const [before, after] = await compare(...played);
+      expect(after.requests).toBe(before.requests);
+      expect(after.inTime).toBeGreaterThan(before.inTime);
+      expect(after.slowestRefusal).toBeLessThanOrEqual(TARGET_MS / 2 + 5);
+    },
+  );
 });
--- a/test/gateway/cold-send-limiter.test.ts
+++ b/test/gateway/cold-send-limiter.test.ts
@@ -3,23 +3,23 @@
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
 import { ColdSendLimiter, coldSendInterval } from '../../src/gateway/cold-send-limiter.js';
 
-const DAY_MS = 20_000;
+const DURATION_MS = 20_000;
 const STEP_MS = 5;
-/** What a cold replica may get beyond its rate, as the platform bounds it. */
+/** Factor and constant by which the platform lets a cold replica's rate be exceeded. */
 const OVERRUN = 1.5;
 const SLACK = 5;
 
-/** Most sendings in any second of a fleet in which every gateway always wants to send. */
+/** Maximum attempts per second of a fleet in which every gateway sends whenever it may. */
 function worstSecond(gateways: number, perSecond: number, seed: number, idleMs: number): number {
   const random = seededRandom(seed, 'slots');
-  const slotLength = coldSendInterval(perSecond, gateways);
+  const interval = coldSendInterval(perSecond, gateways);
   const fleet = Array.from({ length: gateways }, () => new ColdSendLimiter(random.nextFloat()));
   const sends: number[] = [];
   let worst = 0;
-  for (let now = idleMs; now < DAY_MS; now += STEP_MS) {
-    for (const slots of fleet) {
-      if (!slots.allows(now, slotLength)) continue;
-      slots.recordSend(now, slotLength);
+  for (let now = idleMs; now < DURATION_MS; now += STEP_MS) {
+    for (const limiter of fleet) {
+      if (!limiter.allows(now, interval)) continue;
+      limiter.recordSend(now, interval);
       sends.push(now);
     }
     while ((sends[0] ?? now) <= now - 1_000) sends.shift();
@@ -29,7 +29,7 @@
 }
 
 describe('ColdSendSlots', () => {
-  it('keep a whole fleet within what a cold replica bears in any second', () => {
+  it('keeps a whole fleet within the rate of a cold replica in every second', () => {
     const sizes = fc.constantFrom(1, 6, 30, 73, 200);
     const rates = fc.constantFrom(10, 20, 50, 100);
     fc.assert(
@@ -42,13 +42,13 @@
     );
   });
 
-  it('let a gateway alone send at more than half of the rate', () => {
-    const slotLength = coldSendInterval(10, 1);
-    const slots = new ColdSendLimiter(0);
+  it('lets a single gateway send at more than half of the rate', () => {
+    const interval = coldSendInterval(10, 1);
+    const limiter = new ColdSendLimiter(0);
     let sends = 0;
     for (let now = 0; now < 10_000; now += STEP_MS) {
-      if (!slots.allows(now, slotLength)) continue;
-      slots.recordSend(now, slotLength);
+      if (!limiter.allows(now, interval)) continue;
+      limiter.recordSend(now, interval);
       sends += 1;
     }
     expect(sends).toBeGreaterThanOrEqual(50);
--- a/test/gateway/connect-timeouts.test.ts
+++ b/test/gateway/connect-timeouts.test.ts
@@ -13,9 +13,9 @@
   timeoutMs: 8_000,
 };
 const DEADLINE_MS = 8_000;
-/** So long that the other replica is always taken for the better one. */
+/** So slow that the other replica is always preferred. Milliseconds. */
 const SLOW_MS = 400;
-/** Connections that rest are closed within it. Milliseconds. */
+/** Idle connections are closed within this time. Milliseconds. */
 const CONNECTIONS_CLOSED_MS = 9_000;
 
 async function start(
@@ -32,8 +32,8 @@
   return [harness, replicas];
 }
 
-/** Opening packets from the gateway to the replica are dropped from now on. */
-function dropOpenings(harness: GatewayHarness, replica: ExchangeReplica): () => void {
+/** Drops SYN packets from the gateway to the replica until the returned function is called. */
+function dropSynPackets(harness: GatewayHarness, replica: ExchangeReplica): () => void {
   const rule = harness.simulation.cut({
     from: { machine: harness.machine.name },
     to: { machine: harness.machineOf(replica).name },
@@ -41,12 +41,17 @@
   return () => harness.simulation.heal(rule);
 }
 
-/** Times of eight requests, of which some meet the replica that drops opening packets. Milliseconds. */
-async function timesBesideDropping(mechanisms: Partial<GatewayMechanisms>): Promise<number[]> {
+/**
+ * Latencies of eight requests, some of which choose the replica that drops SYN packets.
+ * Milliseconds.
+ */
+async function latenciesWithDroppingReplica(
+  mechanisms: Partial<GatewayMechanisms>,
+): Promise<number[]> {
   const [harness, [dropping, slow]] = await start(2, mechanisms);
   if (dropping === undefined || slow === undefined) return expect.fail('no replicas');
   slow.workMs = SLOW_MS;
-  dropOpenings(harness, dropping);
+  dropSynPackets(harness, dropping);
   const { clock } = harness.machine.environment;
   const times: number[] = [];
   for (let index = 0; index < 8; index += 1) {
@@ -59,32 +64,32 @@
   return times;
 }
 
-describe('the bounds of opening connections', () => {
-  it('leave time for another replica within the target, and none after half of it', () => {
+describe('the connect timeout', () => {
+  it('leaves time for another replica within the target, and ends at half of the target', () => {
     expect(connectTimeout(TARGET_MS, 0)).toBe(100);
     expect(connectTimeout(TARGET_MS, 450)).toBe(50);
     expect(connectTimeout(TARGET_MS, sendTimeout(TARGET_MS))).toBe(1);
     expect(connectTimeout(60, 0)).toBe(30);
   });
 
-  it('leave a further sending as long however late it is', () => {
+  it("doesn't shrink for a further attempt, however late that is", () => {
     expect(connectTimeout(TARGET_MS, undefined)).toBe(100);
     expect(connectTimeout(60, undefined)).toBe(50);
   });
 });
 
-describe('a request whose replica drops opening packets', () => {
-  it('goes to another one soon', async () => {
-    const bounded = await timesBesideDropping({});
-    const unbounded = await timesBesideDropping({ boundedConnecting: false });
+describe('a request whose replica drops SYN packets', () => {
+  it('is sent to another replica after the connect timeout', async () => {
+    const bounded = await latenciesWithDroppingReplica({});
+    const unbounded = await latenciesWithDroppingReplica({ boundedConnecting: false });
     const most = connectTimeout(TARGET_MS, 0) + SLOW_MS + 20;
     expect(Math.max(...bounded)).toBeLessThan(most);
     expect(Math.max(...unbounded)).toBeGreaterThan(most + SLOW_MS / 2);
   });
 
-  it('is refused within half of its target where there is no other, and never arrives', async () => {
+  it('is refused within half of its target and reaches no replica if all drop SYN packets', async () => {
     const [harness, replicas] = await start(3);
-    const heals = replicas.map((replica) => dropOpenings(harness, replica));
+    const heals = replicas.map((replica) => dropSynPackets(harness, replica));
     const { clock } = harness.machine.environment;
     const sentAt = clock.now();
     const answer = await harness.call({ path: '/ledger/1', deadlineMs: DEADLINE_MS });
@@ -96,8 +101,8 @@
   });
 });
 
-/** Sends requests while links to replicas fail and heal and replicas refuse; counts what came of it. */
-async function playSchedule(seed: number): Promise<{ refused: number; answered: number }> {
+/** Sends requests while links fail and heal and replicas refuse; counts refusals and answers. */
+async function runRandomSchedule(seed: number): Promise<{ refused: number; answered: number }> {
   const random = seededRandom(seed, 'schedule');
   const [harness, replicas] = await start(3, { hedging: true }, seed);
   await harness.putRoutes([{ ...ROUTE, execution: 'atMostOnce' }]);
@@ -108,7 +113,7 @@
       const isRefusing = random.nextFloat() < 0.3;
       replica.behaviour = isRefusing ? ReplicaBehaviour.Refuse : ReplicaBehaviour.Serve;
       if (random.nextFloat() > 0.5) continue;
-      const heal = dropOpenings(harness, replica);
+      const heal = dropSynPackets(harness, replica);
       harness.simulation.at(harness.simulation.now + random.nextInteger(1, 1_500), heal);
     }
     const id = `call-${index}`;
@@ -131,15 +136,15 @@
   return { refused: refused.length, answered: all.filter(({ status }) => status === 200).length };
 }
 
-describe('a refusal as not run', () => {
-  it('is given only when no replica runs the request, then or later', async () => {
+describe('a refusal that states that the request was not run', () => {
+  it('is sent only if no replica runs the request, before or after it', async () => {
     const counts = { refused: 0, answered: 0 };
     for (let seed = 1; seed <= 6; seed += 1) {
-      const { refused, answered } = await playSchedule(seed);
+      const { refused, answered } = await runRandomSchedule(seed);
       counts.refused += refused;
       counts.answered += answered;
     }
-    // Both ways are taken often enough to show something.
+    // Both outcomes must occur often enough for the check to mean something.
     expect(counts.refused).toBeGreaterThan(10);
     expect(counts.answered).toBeGreaterThan(50);
   });
--- a/test/gateway/expected-wait.test.ts
+++ b/test/gateway/expected-wait.test.ts
@@ -37,20 +37,20 @@
 }
 
 describe('the expected wait at a replica', () => {
-  it('is that of the work ahead over its slots', () => {
+  it('is the time for the requests ahead divided by its slots', () => {
     expect(expectedWait(replica(), WORK_MS, NOW)).toBe(0);
     expect(expectedWait(replica(1), WORK_MS, NOW)).toBe(0);
     expect(expectedWait(replica(2), WORK_MS, NOW)).toBe(50);
     expect(expectedWait(replica(2, 8), WORK_MS, NOW)).toBe(450);
   });
 
-  it('shrinks as its word gets old, and an old word is not believed', () => {
+  it('shrinks as the load report ages, and an old report is ignored', () => {
     expect(expectedWait(replica(2, 8, NOW - 200), WORK_MS, NOW)).toBe(250);
     expect(expectedWait(replica(2, 8, NOW - 600), WORK_MS, NOW)).toBe(0);
     expect(expectedWait(replica(2, 8_000, NOW - 1_001), WORK_MS, NOW)).toBe(0);
   });
 
-  it('counts what this gateway has in flight there whatever the replica says', () => {
+  it('counts the attempts in flight from this gateway whatever the replica reports', () => {
     const idle = replica(0);
     for (let index = 0; index < 4; index += 1) idle.begin(NOW);
     expect(expectedWait(idle, WORK_MS, NOW)).toBe(150);
@@ -64,21 +64,21 @@
 });
 
 describe('a request to replicas with queues', () => {
-  it('is refused when none can answer it before its deadline', () => {
+  it('is refused if no replica can answer it before its deadline', () => {
     expect(refusalReason(query([replica(2, 8), replica(2, 6)]))).toMatch(/deadline/);
   });
 
-  it('is offered while one can, or nothing is known of one', () => {
+  it('is admitted if one replica can answer in time, or the load of one is unknown', () => {
     expect(refusalReason(query([replica(2, 8), replica(2, 1)]))).toBeUndefined();
     expect(refusalReason(query([replica(2, 8), replica()]))).toBeUndefined();
     expect(refusalReason(query([]))).toBeUndefined();
   });
 
-  it('is offered to one without a queue however short its time is', () => {
+  it('is admitted if a replica has no queue, however close the deadline is', () => {
     expect(refusalReason(query([replica(0)], NOW + 10))).toBeUndefined();
   });
 
-  it('is refused while all are known full for longer than it may wait', () => {
+  it('is refused while all replicas are known to be full for longer than it may wait', () => {
     const full = replica();
     full.fullUntil = NOW + 60;
     expect(refusalReason(query([full]))).toMatch(/full/);
@@ -86,12 +86,12 @@
     expect(refusalReason(query([full]))).toBeUndefined();
   });
 
-  it('finds room first at the busy replica whose queue is the shortest', () => {
+  it('expects capacity first at the busy replica with the shortest queue', () => {
     expect(shortestBusyWait(query([replica(2, 8), replica(2, 1), replica()]))).toBe(100);
     expect(shortestBusyWait(query([replica(), replica(1)]))).toBeUndefined();
   });
 
-  it('knows nothing of when a replica that cannot be reached has room', () => {
+  it('does not predict capacity at an unreachable replica', () => {
     const unreachable = replica(2, 1);
     unreachable.recordFailure(NOW);
     expect(shortestBusyWait(query([unreachable]))).toBeUndefined();
--- a/test/gateway/extra-attempt-budget.test.ts
+++ b/test/gateway/extra-attempt-budget.test.ts
@@ -4,7 +4,7 @@
 const LIMITS = { ratio: 0.2, slack: 56, windowMs: 10_000 };
 const GATEWAYS = 8;
 
-/** Takes all that is left and counts it. */
+/** Takes all extra attempts that are left and counts them. */
 function takeAll(budget: ExtraAttemptBudget): number {
   let taken = 0;
   while (budget.take()) taken += 1;
@@ -16,7 +16,7 @@
 }
 
 describe('SecondSendBudget', () => {
-  it('keeps a fleet within its slack, also when all of it starts again with all saved up', () => {
+  it('keeps a fleet within its slack, even if all gateways spend full budgets and restart', () => {
     const before = createFleet();
     for (const budget of before) {
       for (let index = 0; index < 1_000; index += 1) budget.recordRequest(GATEWAYS);
@@ -25,11 +25,11 @@
     expect(spent).toBeLessThanOrEqual(LIMITS.slack);
   });
 
-  it('lets a gateway that has just started recover from one failure', () => {
+  it('allows one extra attempt at a gateway that has just started', () => {
     expect(takeAll(new ExtraAttemptBudget(LIMITS, GATEWAYS, false))).toBe(1);
   });
 
-  it('has all of its share for a service that is new to an old process', () => {
+  it('starts with the full share for a new service in an old process', () => {
     const fleet = Array.from(
       { length: GATEWAYS },
       () => new ExtraAttemptBudget(LIMITS, GATEWAYS, true),
@@ -39,7 +39,7 @@
     expect(spent).toBeLessThanOrEqual(LIMITS.slack);
   });
 
-  it('spends no more than its part of its own requests in the long run', () => {
+  it('allows no more than the ratio of its own requests in the long run', () => {
     const budget = new ExtraAttemptBudget(LIMITS, GATEWAYS, false);
     takeAll(budget);
     let taken = 0;
--- a/test/gateway/mechanisms.test.ts
+++ b/test/gateway/mechanisms.test.ts
@@ -7,13 +7,13 @@
 const SHARDS = ['shard-a', 'shard-b', 'shard-c', 'shard-d'];
 const FAN_OUT = { pathPrefix: '/q/', shards: SHARDS, topRecords: 3, requiredCoverage: 0.75 };
 const SINGLE = { pathPrefix: '/one/', service: 'desk' };
-/** Longer than any request is waited for. Milliseconds. */
+/** Longer than any request waits. Milliseconds. */
 const NEVER_MS = 10_000;
 /** More requests than one gateway sends to a replica at once. */
 const MANY = 40;
-/** Far below the time after which a request without room is refused. Milliseconds. */
-const MOMENTS_MS = 20;
-/** Beyond the target of 200 ms, well within the deadline. Milliseconds. */
+/** Far below the time after which a request without capacity is refused. Milliseconds. */
+const IMMEDIATE_MS = 20;
+/** Beyond the target of 200 ms, well before the deadline. Milliseconds. */
 const LATE_MS = 600;
 
 interface Setup {
@@ -41,7 +41,7 @@
   return replicas.reduce((sum, { arrivals }) => sum + arrivals, 0);
 }
 
-it('asks one replica only when hedging is off', async () => {
+it('sends to only one replica when hedging is off', async () => {
   const { harness, replicas } = await start(['desk'], { hedging: false });
   for (const replica of replicas) replica.workMs = LATE_MS;
   expect((await harness.call({ path: '/one/1' })).status).toBe(200);
@@ -57,14 +57,17 @@
   expect(answer.headers[DEFAULT_EXCHANGE_HEADERS.missingParts]).toBe('0');
 });
 
-it('asks no other replica after a refusal when retries are off', async () => {
+it('sends to no other replica after a refusal when retries are off', async () => {
   const { harness, replicas } = await start(['desk'], { retries: false });
   for (const replica of replicas) replica.behaviour = ReplicaBehaviour.Refuse;
   expect((await harness.call({ path: '/one/1' })).status).toBe(503);
   expect(arrivalsAt(replicas)).toBe(1);
 });
 
-/** How many of many requests to one replica that answers none were refused within moments. */
+/**
+ * Sends many requests to one replica that answers none; counts those refused within {@link
+ * IMMEDIATE_MS}.
+ */
 async function refusedAtOnce(mechanisms: Partial<GatewayMechanisms>): Promise<number> {
   const { harness, replicas } = await start(['desk'], { ...mechanisms, hedging: false }, 1);
   for (const replica of replicas) replica.workMs = NEVER_MS;
@@ -75,11 +78,11 @@
     };
     void harness.send({ path: '/one/1' }).then(onAnswer, () => undefined);
   }
-  await harness.simulation.runFor(MOMENTS_MS);
+  await harness.simulation.runFor(IMMEDIATE_MS);
   return refused;
 }
 
-it('refuses at once what finds no room only when waiting for it is off', async () => {
+it('refuses immediately for lack of capacity only when waiting is off', async () => {
   expect(await refusedAtOnce({})).toBe(0);
   expect(await refusedAtOnce({ waitForRoom: false })).toBeGreaterThan(0);
 });
@@ -90,7 +93,7 @@
   return replicas.reduce((sum, replica) => sum + replica.healthChecks, 0);
 }
 
-it('opens connections to replicas that are not used yet unless that is off', async () => {
+it('opens connections to unused replicas unless warming is off', async () => {
   expect(await healthChecks({})).toBeGreaterThan(0);
   expect(await healthChecks({ warmConnections: false })).toBe(0);
 });
--- a/test/gateway/overload-shedding.test.ts
+++ b/test/gateway/overload-shedding.test.ts
@@ -26,13 +26,13 @@
 }
 
 describe('OverloadShedding', () => {
-  it('admits everything while only a few replicas have queues', () => {
+  it('admits all requests while only a few replicas have queues', () => {
     const shedding = create();
     report(shedding, 2, 5_000);
     expect(admittedOf(shedding, 0)).toBe(1);
   });
 
-  it('refuses a part while most replicas have queues, the less urgent a little more', () => {
+  it('refuses some requests while most replicas have queues, less urgent ones more often', () => {
     const shedding = create();
     report(shedding, 9, 400);
     const urgent = admittedOf(shedding, 0);
@@ -41,7 +41,7 @@
     expect(admittedOf(shedding, 2)).toBeLessThan(urgent);
   });
 
-  it('never refuses everything, and admits all again once queues are gone', () => {
+  it('never refuses all requests, and admits all again once the queues are gone', () => {
     const shedding = create();
     report(shedding, 10, 50_000);
     expect(admittedOf(shedding, 0)).toBeGreaterThan(0.2);
--- a/test/gateway/replacement-signal.test.ts
+++ b/test/gateway/replacement-signal.test.ts
@@ -10,13 +10,16 @@
   timeoutMs: 8_000,
 };
 const DEADLINE_MS = 8_000;
-/** Of which a gateway that has just started may spend one. */
+/** A gateway that has just started may use one of these extra attempts. */
 const SECOND_SENDS = { ratio: 0.2, slack: 500 };
-/** In which the replica at the address has registered and the gateway knows it. Milliseconds. */
-const KNOWN_MS = 3_000;
+/** Within this time the new replica has registered and the gateway knows it. Milliseconds. */
+const REPLACEMENT_KNOWN_MS = 3_000;
 
-/** A request at work at a replica whose machine goes dark, and whose address another one gets. */
-async function playDarkReplica(
+/**
+ * Sends a request to a replica that loses power while running it; another replica takes over its
+ * address.
+ */
+async function sendToReplacedReplica(
   route: Partial<TestRoute>,
   mechanisms: Partial<GatewayMechanisms> = {},
 ): Promise<{ status: number; tookMs: number; runs: number }> {
@@ -40,38 +43,41 @@
   return { status, tookMs: clock.now() - sentAt, runs };
 }
 
-describe('a request at work at a replica that goes dark', () => {
-  it('ends when another replica has its address, where it may not be sent again', async () => {
-    const { status, tookMs, runs } = await playDarkReplica({ execution: 'atMostOnce' });
+describe('a request running at a replica that loses power', () => {
+  it('fails when another replica takes over the address, if it is not repeatable', async () => {
+    const { status, tookMs, runs } = await sendToReplacedReplica({ execution: 'atMostOnce' });
     expect(status).toBe(502);
-    expect(tookMs).toBeLessThan(KNOWN_MS);
+    expect(tookMs).toBeLessThan(REPLACEMENT_KNOWN_MS);
     expect(runs).toBe(1);
   });
 
-  it('is sent to the other replica where it may be', async () => {
-    const { status, tookMs, runs } = await playDarkReplica({ execution: 'repeatable' });
+  it('is sent to the other replica if it is repeatable', async () => {
+    const { status, tookMs, runs } = await sendToReplacedReplica({ execution: 'repeatable' });
     expect(status).toBe(200);
-    expect(tookMs).toBeLessThan(KNOWN_MS);
+    expect(tookMs).toBeLessThan(REPLACEMENT_KNOWN_MS);
     expect(runs).toBe(2);
   });
 
-  it('waits for its deadline without the mechanism', async () => {
-    const played = await playDarkReplica({ execution: 'atMostOnce' }, { endedReplicas: false });
+  it('waits until its deadline if the mechanism is off', async () => {
+    const played = await sendToReplacedReplica(
+      { execution: 'atMostOnce' },
+      { endedReplicas: false },
+    );
     expect(played.status).toBe(504);
     expect(played.tookMs).toBeGreaterThan(DEADLINE_MS - 100);
   });
 });
 
-describe('the end of a replica', () => {
-  it('is told once, and not to those that ceased to wait', () => {
-    const ending = new ReplacementSignal();
+describe('ReplacementSignal', () => {
+  it('calls each callback once, and no cancelled callback', () => {
+    const signal = new ReplacementSignal();
     const told: string[] = [];
     const cancelled = (): void => void told.push('cancelled');
-    ending.once(() => told.push('waiting'));
-    ending.once(cancelled);
-    ending.cancel(cancelled);
-    ending.emit();
-    ending.emit();
+    signal.once(() => told.push('waiting'));
+    signal.once(cancelled);
+    signal.cancel(cancelled);
+    signal.emit();
+    signal.emit();
     expect(told).toEqual(['waiting']);
   });
 });
--- a/test/gateway/replica-choice.test.ts
+++ b/test/gateway/replica-choice.test.ts
@@ -28,7 +28,7 @@
   return new ReplicaTarget(entry, NO_CLIENT, entry.address, -Infinity, new ColdSendLimiter(0));
 }
 
-/** A gateway in {@link NEAR_ZONE}, with one replica there and one in {@link FAR_ZONE}. */
+/** A gateway in {@link NEAR_ZONE} with one replica there and one in {@link FAR_ZONE}. */
 class TwoZones {
   readonly clock = new ManualClock();
   mechanisms = ALL_MECHANISMS;
@@ -51,12 +51,12 @@
     });
   }
 
-  /** Requests that the near replica said it has. */
+  /** Reports this many requests at the near replica. */
   occupyNear(requests: number): void {
     this.reportNear(requests - 2, 1);
   }
 
-  /** What the near replica said of its queue and of the time that work takes there. */
+  /** Reports the queue and the work factor of the near replica. */
   reportNear(waiting: number, workFactor: number): void {
     this.near.load = { running: 2, waiting, slots: 2, workFactor, at: this.clock.now() };
   }
@@ -68,38 +68,38 @@
   expect(zones.choose(0.2)).toBe(zones.near);
 });
 
-it('goes to the other zone once the near replica would answer near the target', () => {
+it('chooses the other zone once the near replica is expected to answer close to the target', () => {
   const zones = new TwoZones();
   zones.occupyNear(8);
   expect(zones.choose(0.2)).toBe(zones.far);
 });
 
-it('goes by time alone where distance costs nothing', () => {
+it('chooses by latency alone if cross-zone traffic costs nothing', () => {
   const zones = new TwoZones();
   zones.occupyNear(3);
   expect(zones.choose(0)).toBe(zones.far);
 });
 
-it('stays near for longer the less of the request rides on the answer', () => {
+it('tolerates a slower near replica the smaller the value share of the answer is', () => {
   const zones = new TwoZones();
   zones.occupyNear(4);
   expect(zones.choose(0.2, { valueShare: 1 })).toBe(zones.far);
   expect(zones.choose(0.2, { valueShare: 0.1 })).toBe(zones.near);
 });
 
-it('goes to the other zone when the near replica is not to be asked', () => {
+it('chooses the other zone if the near replica is excluded', () => {
   const zones = new TwoZones();
   expect(zones.choose(1, { excluded: new Set([zones.near]) })).toBe(zones.far);
 });
 
-it('does not go by load reports that are switched off', () => {
+it('ignores load reports if they are switched off', () => {
   const zones = new TwoZones();
   zones.mechanisms = { ...ALL_MECHANISMS, loadReports: false };
   zones.occupyNear(8);
   expect(zones.choose(0.2)).toBe(zones.near);
 });
 
-it('goes by how long answers took unless that is switched off', () => {
+it('considers past latencies unless slowness is switched off', () => {
   const zones = new TwoZones();
   for (let sample = 0; sample < 20; sample += 1) zones.near.recordLatency(6, 0);
   expect(zones.choose(0.2)).toBe(zones.far);
@@ -107,7 +107,7 @@
   expect(zones.choose(0.2)).toBe(zones.near);
 });
 
-it('avoids a replica whose attempt has been waiting for long unless that is switched off', () => {
+it('avoids a replica with a stalled attempt unless stalls are switched off', () => {
   const zones = new TwoZones();
   zones.near.begin(0);
   zones.clock.advance(100);
@@ -116,7 +116,7 @@
   expect(zones.choose(0.2)).toBe(zones.near);
 });
 
-it('leaves a replica alone that could not be used unless that is switched off', () => {
+it('avoids a replica that is backing off unless resting is switched off', () => {
   const zones = new TwoZones();
   zones.near.recordFailure(0);
   expect(zones.choose(1)).toBe(zones.far);
@@ -124,7 +124,7 @@
   expect(zones.choose(1)).toBe(zones.near);
 });
 
-it('leaves a replica while it says that work takes far longer there', () => {
+it('avoids a replica while it reports a high work factor', () => {
   const zones = new TwoZones();
   zones.reportNear(0, 4);
   expect(zones.choose(0.2)).toBe(zones.far);
@@ -132,14 +132,14 @@
   expect(zones.choose(0.2)).toBe(zones.near);
 });
 
-it('does not go by the time that work takes where that is switched off', () => {
+it('ignores the work factor if work reports are switched off', () => {
   const zones = new TwoZones();
   zones.mechanisms = { ...ALL_MECHANISMS, workReports: false };
   zones.reportNear(0, 4);
   expect(zones.choose(0.2)).toBe(zones.near);
 });
 
-it('leaves a late near replica of one of many shards too, whatever the way costs', () => {
+it('avoids a late near replica of one of many shards too, whatever the cross-zone cost', () => {
   const zones = new TwoZones();
   zones.occupyNear(12);
   expect(zones.choose(0.2, { valueShare: 0.02 })).toBe(zones.far);
--- a/test/gateway/replica-target.test.ts
+++ b/test/gateway/replica-target.test.ts
@@ -25,19 +25,19 @@
 }
 
 describe('ReplicaTarget', () => {
-  it('takes one attempt without an answer for a pause', () => {
+  it('treats one unfinished attempt as a pause', () => {
     const target = create();
     target.recordUnfinished(3, 1_000);
     expect(target.slownessAt(1_000)).toBeLessThan(2);
   });
 
-  it('takes a replica that goes on without answers for slow', () => {
+  it('treats a replica as slow if it keeps leaving attempts unfinished', () => {
     const target = create();
     for (const now of [1_000, 1_100, 1_500, 2_000]) target.recordUnfinished(3, now);
     expect(target.slownessAt(2_000)).toBeGreaterThanOrEqual(6);
   });
 
-  it('forgets it after an answer, so that two pauses far apart are pauses', () => {
+  it('starts anew after an answer, so that two separate pauses do not count as slowness', () => {
     const target = create();
     target.recordUnfinished(3, 1_000);
     target.recordLatency(1, 1_200);
@@ -46,13 +46,13 @@
     expect(target.slownessAt(7_000)).toBeLessThan(2);
   });
 
-  it('finds a replica that recovered, since what was learned fades', () => {
+  it('lets the slowness decay, so that a recovered replica is used again', () => {
     const target = create();
     for (const now of [0, 1_000]) target.recordUnfinished(4, now);
     expect(target.slownessAt(21_000)).toBeLessThan(1.3);
   });
 
-  it('rests longer after each failure, up to a bound, and not after an answer', () => {
+  it('backs off longer after each failure, up to a bound, and not after an answer', () => {
     const target = create();
     for (let index = 0; index < 20; index += 1) target.recordFailure(0);
     expect(target.isBackingOff(3_900)).toBe(true);
--- a/test/gateway/reported-load.test.ts
+++ b/test/gateway/reported-load.test.ts
@@ -4,17 +4,17 @@
 import { GatewayHarness } from './gateway-harness.js';
 
 describe('readReportedLoad', () => {
-  it('reads three figures', () => {
+  it('parses three numbers', () => {
     const load = parseReportedLoad('1,3,2', 7);
     expect(load).toEqual({ running: 1, waiting: 3, slots: 2, workFactor: 1, at: 7 });
   });
 
-  it('reads how long work takes from a fourth figure, in percent', () => {
+  it('parses the work factor from a fourth number, in percent', () => {
     expect(parseReportedLoad('2, 0, 2, 130', 7)?.workFactor).toBe(1.3);
     expect(parseReportedLoad('1,0,2,80,9', 7)?.workFactor).toBe(0.8);
   });
 
-  it('reads any number of figures from three on, and no other text', () => {
+  it('parses any list of at least three numbers, and no other text', () => {
     const figures = fc.array(fc.nat({ max: 999_999_999 }), { maxLength: 8 });
     fc.assert(
       fc.property(figures, (list) => {
@@ -28,8 +28,8 @@
   });
 });
 
-describe('a load report that cannot be read', () => {
-  it('leaves a count and a line, and costs the request nothing', async () => {
+describe('a load report that cannot be parsed', () => {
+  it('is logged and does not affect the request', async () => {
     const harness = await GatewayHarness.start();
     const replica = await harness.addReplica('ledger', 'the ledger');
     await harness.putRoutes([{ pathPrefix: '/ledger/', service: 'ledger' }]);
--- a/test/gateway/retries.test.ts
+++ b/test/gateway/retries.test.ts
@@ -3,7 +3,7 @@
 import { GatewayHarness } from './gateway-harness.js';
 
 const ROUTE = { pathPrefix: '/ledger/', service: 'ledger', targetLatencyMs: 1_000 };
-/** So long that the other replica is always taken for the better one. */
+/** So slow that the other replica is always preferred. Milliseconds. */
 const SLOW_MS = 400;
 
 async function harnessWith(
@@ -16,8 +16,8 @@
   return [harness, replicas];
 }
 
-describe('a request whose replicas cannot take it', () => {
-  it('is tried again on them a little later, and served', async () => {
+describe('a request that its replicas do not run', () => {
+  it('is retried at the same replicas after a delay, and answered', async () => {
     const [harness, replicas] = await harnessWith(2);
     await harness.putRoutes([ROUTE]);
     for (const replica of replicas) replica.behaviour = ReplicaBehaviour.Refuse;
@@ -27,7 +27,7 @@
     expect((await harness.simulation.settle(answer)).status).toBe(200);
   });
 
-  it('is refused as not run while there is time to ask again', async () => {
+  it('is refused as not run while the caller still has time to retry', async () => {
     const [harness, replicas] = await harnessWith(2);
     await harness.putRoutes([ROUTE]);
     for (const replica of replicas) replica.behaviour = ReplicaBehaviour.Refuse;
@@ -39,7 +39,7 @@
     expect(clock.now() - sentAt).toBeLessThan(ROUTE.targetLatencyMs / 4);
   });
 
-  it('needs no budget where nothing reached a replica', async () => {
+  it('needs no budget for a retry if it reached no replica', async () => {
     const [harness, [first, second]] = await harnessWith(2, { ratio: 0, slack: 0 });
     await harness.putRoutes([ROUTE]);
     await first?.stop();
@@ -47,13 +47,13 @@
     for (let index = 0; index < 8; index += 1) {
       const answer = await harness.call({ path: '/ledger/1', id: `call-${index}` });
       expect(answer.status).toBe(200);
-      // The replica that ended rests after a failure; later it is tried again.
+      // The stopped replica is tried again once its backoff has ended.
       await harness.simulation.runFor(4_500);
     }
     expect(second?.runs).toHaveLength(8);
   });
 
-  it('does not try for long a replica whose address another one has', async () => {
+  it('is not sent again to a replica at whose address another one answered', async () => {
     const [harness, [first, second]] = await harnessWith(2);
     await harness.putRoutes([ROUTE]);
     if (first !== undefined) first.behaviour = ReplicaBehaviour.WrongReplica;
--- a/test/gateway/route-latency.test.ts
+++ b/test/gateway/route-latency.test.ts
@@ -3,7 +3,7 @@
 
 const TARGET_MS = 100;
 
-/** A route whose attempts took these times, over and over. */
+/** Latency of a route whose attempts repeatedly took these times. */
 function learned(...latencies: number[]): RouteLatency {
   const latency = new RouteLatency(TARGET_MS);
   for (let index = 0; index < 100; index += 1) {
@@ -12,17 +12,17 @@
   return latency;
 }
 
-describe('the time after which a second replica is asked', () => {
-  it('is a part of the target while nothing is known', () => {
+describe('the hedge delay', () => {
+  it('is a share of the target while nothing is known', () => {
     expect(new RouteLatency(TARGET_MS).hedgeDelay).toBe(30);
   });
 
-  it('is what nine of ten attempts stay below, and at most a part of the target', () => {
+  it('is the 90th percentile of attempts, and at most a share of the target', () => {
     expect(learned(10, 10, 10, 10, 10, 10, 10, 10, 25, 25).hedgeDelay).toBeCloseTo(25, -1);
     expect(learned(10, 10, 10, 10, 10, 10, 10, 10, 90, 90).hedgeDelay).toBe(38);
   });
 
-  it('is above the usual time also where that is long, so that not every attempt is doubled', () => {
+  it('is above the median even if that is high, so that not every attempt is hedged', () => {
     expect(learned(60, 60, 70).hedgeDelay).toBeGreaterThan(80);
   });
 });
--- a/test/gateway/service-targets.test.ts
+++ b/test/gateway/service-targets.test.ts
@@ -41,8 +41,8 @@
   return targets.of(service).map((target) => target.entry.replicaId);
 }
 
-describe('an address that another replica takes', () => {
-  it('belongs to the one that registered last, whatever is heard of the other', () => {
+describe('an address that another replica takes over', () => {
+  it('belongs to the replica that registered last, whatever is reported of the other', () => {
     const { directory, targets } = create();
     directory.report(entry('old'));
     directory.report(entry('new'));
@@ -52,10 +52,10 @@
     expect(targets.size).toBe(1);
   });
 
-  it('is given back when the replica there says that it is the other one', () => {
+  it('is given back when the replica there identifies itself as the earlier one', () => {
     const { directory, targets } = create();
     directory.report(entry('alive'));
-    directory.report(entry('late word of a dead one', { service: 'other' }));
+    directory.report(entry('outdated registration', { service: 'other' }));
     expect(idsOf(targets)).toEqual([]);
     const [dead] = targets.of('other');
     if (dead === undefined) return expect.fail('no target');
@@ -63,7 +63,7 @@
     expect(idsOf(targets)).toEqual(['alive']);
   });
 
-  it('stays with the later one when the earlier one is forgotten or leaves', () => {
+  it('stays with the later replica when the earlier one leaves', () => {
     const { directory, targets } = create();
     directory.report(entry('old'));
     directory.report(entry('new'));
@@ -75,8 +75,8 @@
   });
 });
 
-describe('a replica that says that it is cold', () => {
-  it('counts as cold from its start, and again when it turns cold later', async () => {
+describe('a replica that reports a warmup time', () => {
+  it('is cold from its start, and again when it turns cold later', async () => {
     const { directory, targets, simulation, now } = create();
     const startedAt = now();
     directory.report(entry('i', { warmupMs: 2_000 }));
--- a/test/gateway/single-admission.test.ts
+++ b/test/gateway/single-admission.test.ts
@@ -19,8 +19,8 @@
   return Number(answer.headers['retry-after']) * 1_000;
 }
 
-describe('a request to replicas that are full', () => {
-  it('may come back when a slot is expected, in the time that its caller has', async () => {
+describe('a request to full replicas', () => {
+  it('is refused with a retry delay within the remaining time of its caller', async () => {
     const harness = await startRefusing(true);
     const times = [await retryAfterMs(harness), await retryAfterMs(harness)];
     for (const time of times) {
@@ -30,7 +30,7 @@
     expect(times[0]).not.toBe(times[1]);
   });
 
-  it('may come back after half a second without the mechanism', async () => {
+  it('is refused with a retry delay of 500 ms if the mechanism is off', async () => {
     expect(await retryAfterMs(await startRefusing(false))).toBe(500);
   });
 });
--- a/test/gateway/split-chooser.test.ts
+++ b/test/gateway/split-chooser.test.ts
@@ -26,7 +26,7 @@
   );
 }
 
-/** Share of the first service among `requests` that reach gateways by chance. */
+/** Share of the first service among `requests` that arrive at random gateways. */
 function shareOfFirst(
   fleet: readonly SplitChooser[],
   split: readonly SplitPart[],
@@ -36,7 +36,7 @@
   const arrivals = seededRandom(seed, 'arrivals');
   let first = 0;
   for (let index = 0; index < requests; index += 1) {
-    // Each version of the routes is read anew, so its splits are other objects.
+    // Each version of the route document is parsed anew, so its splits are different objects.
     const version = split.map((part) => ({ ...part }));
     const gateway = fleet[arrivals.nextInteger(0, fleet.length - 1)];
     if (gateway?.choose({ ...ROUTE }, version) === 'service-0') first += 1;
@@ -69,14 +69,14 @@
     );
   });
 
-  it('never chooses a service without weight', () => {
+  it('never chooses a service with weight 0', () => {
     const [gateway] = createFleet(1, 3);
     for (let index = 0; index < 200; index += 1) {
       expect(gateway?.choose(ROUTE, splitOf(0, 1, 0))).toBe('service-1');
     }
   });
 
-  it('goes on where it was when a new version leaves the split alone', () => {
+  it('continues the round when a new version leaves the split unchanged', () => {
     const split = splitOf(2, 3);
     const [same, versions] = [...createFleet(1, 3), ...createFleet(1, 3)];
     for (let index = 0; index < 100; index += 1) {
