--- a/src/gateway/answer-margin.ts
+++ b/src/gateway/answer-margin.ts
@@ -14,7 +14,7 @@
 const MAXIMUM_TARGET_SHARE = 0.3;
 /** Few samples are kept because the load of a process changes within seconds. */
 const LAG_WINDOW_SAMPLES = 60;
-/** High, because a late answer loses nine tenths of its value, a missing part a few hundredths. */
+/** High, because a late answer loses 90 % of its value, but a missing part only a few percent. */
 const LAG_QUANTILE = 0.9;
 const REFRESH_INTERVAL_SAMPLES = 6;
 
--- a/test/gateway/cold-send-limiter.test.ts
+++ b/test/gateway/cold-send-limiter.test.ts
@@ -28,7 +28,7 @@
   return worst;
 }
 
-describe('ColdSendSlots', () => {
+describe('ColdSendLimiter', () => {
   it('keeps a whole fleet within the rate of a cold replica in every second', () => {
     const sizes = fc.constantFrom(1, 6, 30, 73, 200);
     const rates = fc.constantFrom(10, 20, 50, 100);
--- a/test/gateway/extra-attempt-budget.test.ts
+++ b/test/gateway/extra-attempt-budget.test.ts
@@ -15,7 +15,7 @@
   return Array.from({ length: GATEWAYS }, () => new ExtraAttemptBudget(LIMITS, GATEWAYS, false));
 }
 
-describe('SecondSendBudget', () => {
+describe('ExtraAttemptBudget', () => {
   it('keeps a fleet within its slack, even if all gateways spend full budgets and restart', () => {
     const before = createFleet();
     for (const budget of before) {
--- a/test/gateway/replacement-signal.test.ts
+++ b/test/gateway/replacement-signal.test.ts
@@ -68,7 +68,7 @@
   });
 });
 
-describe('ReplacementSignal', () => {
+describe('a replacement signal', () => {
   it('calls each callback once, and no cancelled callback', () => {
     const signal = new ReplacementSignal();
     const told: string[] = [];
--- a/test/gateway/reported-load.test.ts
+++ b/test/gateway/reported-load.test.ts
@@ -3,7 +3,7 @@
 import { parseReportedLoad } from '../../src/gateway/reported-load.js';
 import { GatewayHarness } from './gateway-harness.js';
 
-describe('readReportedLoad', () => {
+describe('parseReportedLoad', () => {
   it('parses three numbers', () => {
     const load = parseReportedLoad('1,3,2', 7);
     expect(load).toEqual({ running: 1, waiting: 3, slots: 2, workFactor: 1, at: 7 });
