--- a/src/gateway/answer-margin.ts
+++ b/src/gateway/answer-margin.ts
@@ -10,8 +10,8 @@
  * slow replicas, 12 and 24 ms gave worse results; see docs/design/shifted-work.md.
  */
 const FIXED_MARGIN_MS = 18;
-/** Upper bound of the margin, as a share of the target latency. */
-const MAXIMUM_TARGET_SHARE = 0.3;
+/** Upper bound of the margin, as a fraction of the target latency. */
+const MAXIMUM_TARGET_FRACTION = 0.3;
 /** Few samples are kept because the load of a process changes within seconds. */
 const LAG_WINDOW_SAMPLES = 60;
 /** High, because a late answer loses 90 % of its value, but a missing part only a few percent. */
@@ -44,11 +44,11 @@
     return this.timerLag;
   }
 
-  /** Time after a request's receipt at which an answer with sufficient coverage is sent. */
+  /** Latest time after a request's receipt at which an answer with sufficient coverage is sent. */
   cutOffDelay(targetLatency: number): number {
     return (
       targetLatency -
-      Math.min(FIXED_MARGIN_MS + this.timerLag, targetLatency * MAXIMUM_TARGET_SHARE)
+      Math.min(FIXED_MARGIN_MS + this.timerLag, targetLatency * MAXIMUM_TARGET_FRACTION)
     );
   }
 }
--- a/src/gateway/attempt-observer.ts
+++ b/src/gateway/attempt-observer.ts
@@ -71,7 +71,7 @@
   if (reason === NotRunReason.WrongReplica) targets.markReplaced(target);
 }
 
-/** Records the replica's load report if it arrived with the answer to this attempt. */
+/** Records the load report that came with the answer: one read after this attempt was sent. */
 function recordLoad(
   { shedding }: GatewayContext,
   { shards = [] }: Route,
--- a/src/gateway/attempt-record.ts
+++ b/src/gateway/attempt-record.ts
@@ -36,6 +36,7 @@
   result: AttemptResult | undefined;
 }
 
+/** Slowness is rounded to tenths. */
 const SLOWNESS_PRECISION = 10;
 
 /** Returns the current state of `target`, to record it with a choice. */
--- a/src/gateway/attempt-sender.ts
+++ b/src/gateway/attempt-sender.ts
@@ -48,7 +48,7 @@
   async send(
     request: CallerRequest,
     target: ReplicaTarget,
-    { signal, connectTimeout: connectWithin, onSent }: SendOptions,
+    { signal, connectTimeout, onSent }: SendOptions,
   ): Promise<AttemptResult> {
     const remaining = Math.floor(request.deadline - this.clock.now());
     if (remaining < 1) return { kind: 'notRun', reason: NotRunReason.Unreachable };
@@ -59,7 +59,7 @@
         headers: this.headersFor(request, target, remaining),
         ...this.bodyOf(request),
         signal,
-        ...(connectWithin === undefined ? {} : { connectWithin }),
+        ...(connectTimeout === undefined ? {} : { connectWithin: connectTimeout }),
         onSent,
         acceptResponse: (headers) => this.isForRequest(request, headers),
       });
@@ -124,7 +124,7 @@
   private classifyResponse(request: CallerRequest, response: HttpClientResponse): AttemptResult {
     const { status, headers, body } = response;
     const carriesId = headers[this.headerNames.requestId] === request.id;
-    // Also checked for refusals: a late one of an earlier request may arrive in this answer's place.
+    // Refusals are checked too: a late one of an earlier request may arrive in this answer's place.
     if (!carriesId) return { kind: 'broken', reason: 'the answer does not name the request' };
     if (status === WRONG_REPLICA_STATUS)
       return { kind: 'notRun', reason: NotRunReason.WrongReplica };
--- a/src/gateway/attempt-tally.ts
+++ b/src/gateway/attempt-tally.ts
@@ -17,8 +17,8 @@
 
 /** Unsuccessful attempts of one {@link ReplicaRace}. */
 export class AttemptTally {
-  /** Reason of the latest unsuccessful attempt; the failure reports it. */
-  reason = 'no replica can take the request';
+  /** Reason that the failure reports: usually that of the latest unsuccessful attempt. */
+  reason = 'no replica can take it';
   /** Ended attempts that may have run. */
   possibleRuns = 0;
   private refusals = 0;
--- a/src/gateway/cold-send-limiter.ts
+++ b/src/gateway/cold-send-limiter.ts
@@ -11,13 +11,13 @@
  * plus this window can all send within the same second.
  */
 const MAXIMUM_SEND_WINDOW_MS = 500;
-/** Share of the rate that is distributed; the rest allows for unevenly spread phases. */
-const USED_SHARE = 0.6;
+/** Fraction of the rate that is distributed; the rest allows for unevenly spread phases. */
+const USED_FRACTION = 0.6;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Length of the interval in which one gateway may send once to a cold replica. Milliseconds. */
 export function coldSendInterval(requestsPerSecond: number, gateways: number): number {
-  return (MILLISECONDS_PER_SECOND * gateways) / (requestsPerSecond * USED_SHARE);
+  return (MILLISECONDS_PER_SECOND * gateways) / (requestsPerSecond * USED_FRACTION);
 }
 
 /** Limiter of one gateway for one replica. Times are clock readings in milliseconds. */
--- a/src/gateway/connection-warmer.ts
+++ b/src/gateway/connection-warmer.ts
@@ -12,7 +12,7 @@
 const IDLE_MS = 6_000;
 /** Random addition to {@link IDLE_MS}, so that gateways don't all check at once. */
 const IDLE_JITTER_MS = 1_500;
-/** Consecutive checks without a request in between, after which a replica is no longer checked. */
+/** Checks without a request in between, after which a replica is not checked until it gets one. */
 const MAXIMUM_UNUSED_CHECKS = 2;
 /** Replicas beyond this number are connected to on demand. */
 const MAXIMUM_TARGETS = 256;
@@ -29,7 +29,7 @@
    * Whether this gateway calls the service, with requests so short that connecting delays them
    * noticeably.
    */
-  readonly isWarmed: (service: string) => boolean;
+  readonly shouldKeepWarm: (service: string) => boolean;
   /** Returns the health check path of a service. */
   readonly healthPath: (service: string) => string;
   /** Name of the response header with a replica's remaining warmup time. */
@@ -51,7 +51,7 @@
   let scanned = 0;
   let checked = 0;
   for (const target of options.targets()) {
-    if (!options.isWarmed(target.entry.service)) continue;
+    if (!options.shouldKeepWarm(target.entry.service)) continue;
     scanned += 1;
     if (scanned > MAXIMUM_TARGETS || checked >= CHECKS_PER_SCAN) return;
     const isDue = now >= target.nextWarmCheckAt && target.unusedChecks < MAXIMUM_UNUSED_CHECKS;
--- a/src/gateway/create-gateway-context.ts
+++ b/src/gateway/create-gateway-context.ts
@@ -75,7 +75,7 @@
     sender: new AttemptSender(clock, headers, noteUnreadable, traffic),
     latencies: new RouteLatencies(),
     shares: new FleetShares(clock, secondSends, countGateways, mechanisms.youngShares),
-    retryTimes: new RetrySchedule(random),
+    retrySchedule: new RetrySchedule(random),
     shedding: new OverloadShedding(random),
     answerMargin: new AnswerMargin(mechanisms.learnedMargin),
     crashGuard,
--- a/src/gateway/expected-wait.ts
+++ b/src/gateway/expected-wait.ts
@@ -37,7 +37,7 @@
 /**
  * Estimates the requests at the replica: its last load report, less those it should have completed
  * since. Arrivals since the report are not estimated, so that an old report doesn't keep requests
- * away from the replica for long.
+ * away from the replica for long. Attempts in flight from this gateway always count.
  */
 function requestsAhead(target: ReplicaTarget, medianLatency: number, now: number): number {
   const { load, inFlight } = target;
@@ -47,8 +47,8 @@
 }
 
 /**
- * Expected time until the replica starts processing a request sent now; 0 without a
- * queue. Milliseconds.
+ * Expected time until the replica starts processing a request sent now; 0 if a slot is
+ * free. Milliseconds.
  */
 export function expectedWait(target: ReplicaTarget, medianLatency: number, now: number): number {
   const slots = Math.max(1, target.entry.capacity);
--- a/src/gateway/extra-attempt-budget.ts
+++ b/src/gateway/extra-attempt-budget.ts
@@ -18,8 +18,8 @@
   readonly windowMs: number;
 }
 
-/** Share of the limits in use; the rest covers attempts that others count differently. */
-const USED_SHARE = 0.85;
+/** Fraction of the limits in use; the rest covers attempts counted differently elsewhere. */
+const USED_FRACTION = 0.85;
 
 /** Budget of one gateway for one service. */
 export class ExtraAttemptBudget {
@@ -30,14 +30,14 @@
     gateways: number,
     isProcessOld: boolean,
   ) {
-    const share = isProcessOld ? USED_SHARE : 1 - USED_SHARE;
-    this.tokens = (limits.slack * share) / Math.max(1, gateways);
+    const fraction = isProcessOld ? USED_FRACTION : 1 - USED_FRACTION;
+    this.tokens = (limits.slack * fraction) / Math.max(1, gateways);
   }
 
   /** Earns tokens for the first attempt of a request. */
   recordRequest(gateways: number): void {
-    const maximum = (this.limits.slack * USED_SHARE) / Math.max(1, gateways);
-    this.tokens = Math.min(this.tokens + this.limits.ratio * USED_SHARE, Math.max(1, maximum));
+    const maximum = (this.limits.slack * USED_FRACTION) / Math.max(1, gateways);
+    this.tokens = Math.min(this.tokens + this.limits.ratio * USED_FRACTION, Math.max(1, maximum));
   }
 
   /** Takes one extra attempt; false if none is left. */
--- a/src/gateway/fleet-shares.ts
+++ b/src/gateway/fleet-shares.ts
@@ -8,13 +8,13 @@
 
 /** Assumed number of gateways until a controller reports it. */
 const DEFAULT_GATEWAYS = 16;
-/** Share of a replica's connections in use; the rest is for gateways that are not counted yet. */
-const USED_SHARE = 0.9;
+/** Fraction of a replica's connections in use; the rest is for gateways not counted yet. */
+const USED_FRACTION = 0.9;
 /**
- * Share in use after the start of the process, because replicas may still hold connections of the
- * previous process: one whose machine lost power closed none of them.
+ * Fraction in use after the start of the process, because replicas may still hold connections of
+ * the previous process: one whose machine lost power closed none of them.
  */
-const STARTUP_USED_SHARE = 0.4;
+const STARTUP_USED_FRACTION = 0.4;
 const STARTUP_MS = 12_000;
 const DEFAULT_CONNECTIONS = 16;
 const COUNT_INTERVAL_MS = 100;
@@ -40,9 +40,9 @@
   /** Maximum number of attempts in flight from this gateway to one replica of the service. */
   maximumInFlight(table: RouteTable, service: string): number {
     const connections = table.service(service)?.maximumConnections ?? DEFAULT_CONNECTIONS;
-    const isStartup = this.clock.now() - this.startedAt < STARTUP_MS;
-    const share = isStartup && this.reservesAtStartup ? STARTUP_USED_SHARE : USED_SHARE;
-    return Math.max(1, Math.floor((connections * share) / this.gateways));
+    const isStarting = this.clock.now() - this.startedAt < STARTUP_MS;
+    const fraction = isStarting && this.reservesAtStartup ? STARTUP_USED_FRACTION : USED_FRACTION;
+    return Math.max(1, Math.floor((connections * fraction) / this.gateways));
   }
 
   /** Interval for `ColdSendLimiter` in milliseconds; Infinity if cold replicas are not limited. */
--- a/src/gateway/forward-single.ts
+++ b/src/gateway/forward-single.ts
@@ -40,7 +40,7 @@
     this.race = new ReplicaRace(context, request, {
       service,
       latency: this.latency,
-      valueShare: 1,
+      valueFraction: 1,
       isRepeat: false,
       retryDeadline: offeredBy,
       abortsOnReplacement: context.mechanisms.endedReplicas,
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -28,7 +28,7 @@
   readonly sender: AttemptSender;
   readonly latencies: RouteLatencies;
   readonly shares: FleetShares;
-  readonly retryTimes: RetrySchedule;
+  readonly retrySchedule: RetrySchedule;
   readonly shedding: OverloadShedding;
   readonly answerMargin: AnswerMargin;
   readonly crashGuard: CrashGuard;
--- a/src/gateway/gateway-upkeep.ts
+++ b/src/gateway/gateway-upkeep.ts
@@ -42,7 +42,7 @@
       clock,
       random,
       targets: () => aggregation.firstAsked(),
-      isWarmed: (service) => this.isAskedOften(service),
+      shouldKeepWarm: (service) => this.isAskedOften(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
       stopped,
--- a/src/gateway/overload-shedding.ts
+++ b/src/gateway/overload-shedding.ts
@@ -9,16 +9,16 @@
 /** Load reports after which the admitted part is adjusted. */
 const REPORTS_PER_WINDOW = 100;
 /**
- * Above this share of reports with a long queue, the admitted part is multiplied by
+ * Above this fraction of reports with a long queue, the admitted part is multiplied by
  * {@link DECREASE_FACTOR}.
  */
-const OVERLOADED_SHARE = 0.6;
+const OVERLOADED_FRACTION = 0.6;
 const DECREASE_FACTOR = 0.82;
-/** Below this share, the admitted part grows by {@link INCREASE_STEP}. */
-const UNLOADED_SHARE = 0.35;
+/** Below this fraction, the admitted part grows by {@link INCREASE_STEP}. */
+const UNLOADED_FRACTION = 0.35;
 const INCREASE_STEP = 0.12;
 const MINIMUM_ADMITTED = 0.3;
-/** Additional probability of refusal per priority rank; a higher rank is less urgent. */
+/** Additional probability of refusal per step of priority; a higher number is less urgent. */
 const PRIORITY_STEP = 0.04;
 
 /** Weight of one leaf's admitted part, low because a leaf covers only some of the shards. */
@@ -44,9 +44,9 @@
     this.longQueues = 0;
   }
 
-  private adjust(share: number): void {
-    if (share > OVERLOADED_SHARE) this.admitted *= DECREASE_FACTOR;
-    else if (share < UNLOADED_SHARE) this.admitted += INCREASE_STEP;
+  private adjust(longQueueFraction: number): void {
+    if (longQueueFraction > OVERLOADED_FRACTION) this.admitted *= DECREASE_FACTOR;
+    else if (longQueueFraction < UNLOADED_FRACTION) this.admitted += INCREASE_STEP;
     this.admitted = Math.min(1, Math.max(MINIMUM_ADMITTED, this.admitted));
   }
 }
--- a/src/gateway/replica-candidates.ts
+++ b/src/gateway/replica-candidates.ts
@@ -9,8 +9,8 @@
 export interface ReplicaCandidatesOptions {
   readonly service: string;
   readonly latency: RouteLatency;
-  /** Share of the request's value that is lost if this service's answer is late; at most 1. */
-  readonly valueShare: number;
+  /** Fraction of the request's value that is lost if this service's answer is late; at most 1. */
+  readonly valueFraction: number;
 }
 
 /** Candidate replicas of one race. */
@@ -76,13 +76,13 @@
   private chooseExcept(excluded: ReadonlySet<ReplicaTarget>): ReplicaTarget | undefined {
     const { choice, shares } = this.context;
     const { table, route } = this.request;
-    const { service, latency, valueShare } = this.options;
+    const { service, latency, valueFraction } = this.options;
     return choice.choose({
       targets: this.permitted,
       excluded,
       medianLatency: latency.median,
       targetLatency: targetLatencyOf(route),
-      valueShare,
+      valueFraction,
       maximumInFlight: shares.maximumInFlight(table, service),
       coldSendInterval: shares.coldSendInterval(table, service),
     });
--- a/src/gateway/replica-choice.ts
+++ b/src/gateway/replica-choice.ts
@@ -13,11 +13,11 @@
 /** Half-life of a reported work factor, which changes several times a second. */
 const WORK_HALF_LIFE_MS = 200;
 /**
- * Upper bound of the cross-zone cost, as a share of the value lost if the answer is late. With it,
- * a replica in another zone is preferred over one in the same zone that is expected to take more
+ * Upper bound of the cross-zone cost, as a fraction of the value lost if the answer is late. With
+ * it, a replica in another zone is preferred over one in the same zone that is expected to take more
  * than half of the target latency.
  */
-const MAXIMUM_ZONE_COST_SHARE = 0.3;
+const MAXIMUM_ZONE_COST_FRACTION = 0.3;
 /** Factor by which a cold replica is expected to be slower. */
 const WARMUP_FACTOR = 1.6;
 /** Random spread, so that gateways with the same information don't all choose the same replica. */
@@ -42,8 +42,8 @@
   readonly medianLatency: number;
   /** Latency within which an answer has its full value. */
   readonly targetLatency: number;
-  /** Share of the request's value that is lost if this answer is late; at most 1. */
-  readonly valueShare: number;
+  /** Fraction of the request's value that is lost if this answer is late; at most 1. */
+  readonly valueFraction: number;
   /** Maximum number of attempts in flight from this gateway to one replica. */
   readonly maximumInFlight: number;
   /** Interval for `ColdSendLimiter`; Infinity if cold replicas are not limited. */
@@ -109,11 +109,11 @@
   }
 
   /**
-   * Bounded by the value share: one late shard of many loses little, but still more than the
-   * traffic costs.
+   * Bounded by the request's value that is lost if the answer is late: one late shard of many loses
+   * little, but still more than the traffic costs.
    */
-  private zoneCost({ valueShare }: ChoiceQuery): number {
-    return Math.min(this.placement.otherZoneCost, valueShare * MAXIMUM_ZONE_COST_SHARE);
+  private zoneCost({ valueFraction }: ChoiceQuery): number {
+    return Math.min(this.placement.otherZoneCost, valueFraction * MAXIMUM_ZONE_COST_FRACTION);
   }
 
   /**
@@ -121,9 +121,9 @@
    * plenty left, and ever more as the expected latency approaches the target.
    */
   private latenessCost(target: ReplicaTarget, query: ChoiceQuery, now: number): number {
-    const { medianLatency, targetLatency, valueShare } = query;
+    const { medianLatency, targetLatency, valueFraction } = query;
     const expectedTime = medianLatency * this.latencyFactor(target, medianLatency, now);
-    return valueShare * (expectedTime / targetLatency) ** 2;
+    return valueFraction * (expectedTime / targetLatency) ** 2;
   }
 
   /** Expected latency as a multiple of the median latency. */
--- a/src/gateway/replica-race.ts
+++ b/src/gateway/replica-race.ts
@@ -31,8 +31,8 @@
 export interface ReplicaRaceOptions {
   readonly service: string;
   readonly latency: RouteLatency;
-  /** Share of the request's value that is lost if this service's answer is late; at most 1. */
-  readonly valueShare: number;
+  /** Fraction of the request's value that is lost if this service's answer is late; at most 1. */
+  readonly valueFraction: number;
   /**
    * Whether another gateway may have sent the request to the service: the first attempt then needs
    * budget as well.
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Starts a hedge if the route, the budget and the crash guard allow it; true if it was sent or
-   * awaits a trial.
+   * Starts a hedge if the route, the budget and the crash guard allow it. Returns true if it was
+   * sent, or if the race ended because the request is quarantined.
    */
   hedge(): boolean {
     const isOver = this.outcome !== undefined || !this.context.mechanisms.hedging;
@@ -244,7 +244,7 @@
       this.context.decisions.connectionLost(this.request, this.service, record);
     }
     // Unsubscribed first: recordCrashEvidence may end the trial, and the callback would continue
-    // the race before this result is recorded.
+    // the race before this result is counted.
     if (isTrial)
       this.context.crashGuard.cancelNews(this.request.fingerprint, this.onQuarantineUpdate);
     recordCrashEvidence(this.context, { request: this.request, target, result, isTrial });
--- a/src/gateway/replica-target.ts
+++ b/src/gateway/replica-target.ts
@@ -34,7 +34,7 @@
   trialsInFlight = 0;
   /** Health checks since the last request. */
   unusedChecks = 0;
-  /** Whether the replica announced its departure, or was removed after too many missed heartbeats. */
+  /** Whether the replica announced its departure, or was removed after a long silence. */
   hasLeft = false;
   /** The replica that registered later at this address or under this id, if any. */
   successor: ReplicaTarget | undefined;
--- a/src/gateway/retry-schedule.ts
+++ b/src/gateway/retry-schedule.ts
@@ -5,8 +5,8 @@
  */
 import type { RandomSource } from '../seams/random-source.js';
 
-/** Longest retry delay, as a share of the time to the caller's deadline. */
-const MAXIMUM_SHARE_OF_REMAINING = 0.3;
+/** Longest retry delay, as a fraction of the time to the caller's deadline. */
+const MAXIMUM_DELAY_FRACTION = 0.3;
 /** Shorter delays gain a caller nothing. */
 const MINIMUM_RETRY_AFTER_MS = 20;
 const MAXIMUM_SERVICES = 10_000;
@@ -36,7 +36,7 @@
     const afterOthers = (this.lastRetryAt.get(service) ?? -Infinity) + interval;
     const retryAt = Math.max(now + availableIn, afterOthers);
     if (this.lastRetryAt.size >= MAXIMUM_SERVICES) this.lastRetryAt.clear();
-    const maximum = Math.max(MINIMUM_RETRY_AFTER_MS, remaining * MAXIMUM_SHARE_OF_REMAINING);
+    const maximum = Math.max(MINIMUM_RETRY_AFTER_MS, remaining * MAXIMUM_DELAY_FRACTION);
     // Bounded, so that scheduled times don't move ever further beyond the delays that callers get.
     this.lastRetryAt.set(service, Math.min(retryAt, now + maximum));
     // Other gateways schedule their callers alike: randomize over up to twice the delay.
--- a/src/gateway/route-latencies.ts
+++ b/src/gateway/route-latencies.ts
@@ -2,13 +2,13 @@
 import type { Route } from '../routes/route-document.js';
 import { RouteLatency } from './route-latency.js';
 
-/** Target latency of a route that sets none, as a share of its timeout. */
-const DEFAULT_TARGET_SHARE_OF_TIMEOUT = 0.25;
+/** Target latency of a route that sets none, as a fraction of its timeout. */
+const DEFAULT_TARGET_FRACTION = 0.25;
 const MAXIMUM_ROUTES = 10_000;
 
 /** Latency within which an answer of the route has its full value. Milliseconds. */
 export function targetLatencyOf(route: Route): number {
-  return route.targetLatencyMs ?? route.timeoutMs * DEFAULT_TARGET_SHARE_OF_TIMEOUT;
+  return route.targetLatencyMs ?? route.timeoutMs * DEFAULT_TARGET_FRACTION;
 }
 
 /** Latency statistics by host and path prefix. */
--- a/src/gateway/route-latency.ts
+++ b/src/gateway/route-latency.ts
@@ -2,16 +2,16 @@
 import { LatencyDigest } from '../policies/latency-digest.js';
 
 const WINDOW_SAMPLES = 400;
-/** Samples of two gathers of a leaf; with fewer, shares of the target latency are used. */
+/** Samples of two gathers of a leaf; with fewer, fractions of the target latency are used. */
 const MINIMUM_SAMPLES = 16;
 const REFRESH_INTERVAL_SAMPLES = 16;
 const MEDIAN_QUANTILE = 0.5;
 const HEDGE_QUANTILE = 0.9;
 
-/** Shares of the target latency: initial values, and the upper bound of the hedge delay. */
-const INITIAL_MEDIAN_SHARE = 0.15;
-const INITIAL_HEDGE_SHARE = 0.3;
-const MAXIMUM_HEDGE_SHARE = 0.38;
+/** Fractions of the target latency: initial values, and the upper bound of the hedge delay. */
+const INITIAL_MEDIAN_FRACTION = 0.15;
+const INITIAL_HEDGE_FRACTION = 0.3;
+const MAXIMUM_HEDGE_FRACTION = 0.38;
 /** Lower bound of the hedge delay, as a multiple of the median. */
 const MINIMUM_HEDGE_OVER_MEDIAN = 1.4;
 
@@ -23,8 +23,8 @@
   private hedgeTime: number;
 
   constructor(private readonly target: number) {
-    this.medianTime = target * INITIAL_MEDIAN_SHARE;
-    this.hedgeTime = target * INITIAL_HEDGE_SHARE;
+    this.medianTime = target * INITIAL_MEDIAN_FRACTION;
+    this.hedgeTime = target * INITIAL_HEDGE_FRACTION;
   }
 
   /** Median latency of an attempt. */
@@ -54,7 +54,7 @@
     this.sinceRefresh = 0;
     this.medianTime = this.digest.quantile(MEDIAN_QUANTILE);
     const hedgeQuantile = this.digest.quantile(HEDGE_QUANTILE);
-    const maximum = this.target * MAXIMUM_HEDGE_SHARE;
+    const maximum = this.target * MAXIMUM_HEDGE_FRACTION;
     const minimum = this.medianTime * MINIMUM_HEDGE_OVER_MEDIAN;
     // If all attempts are slow, none of them is late, and hedges would only slow them further.
     this.hedgeTime = Math.max(Math.min(hedgeQuantile, maximum), minimum);
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -92,7 +92,7 @@
         new ReplicaRace(this.context, this.request, {
           service,
           latency,
-          valueShare: stake,
+          valueFraction: stake,
           isRepeat,
           retryDeadline: retryUntil,
           maySendAgain,
--- a/src/gateway/single-admission.ts
+++ b/src/gateway/single-admission.ts
@@ -49,7 +49,7 @@
       0,
     );
     const timing = { service, now, availableIn, interval: 1 / rate, remaining: deadline - now };
-    return this.context.retryTimes.next(timing);
+    return this.context.retrySchedule.next(timing);
   }
 
   private get query(): WaitQuery {
--- a/test/gateway/answer-margin.test.ts
+++ b/test/gateway/answer-margin.test.ts
@@ -15,7 +15,7 @@
     expect(late).toBeGreaterThan(104);
   });
 
-  it('is bounded by a share of the target, and shrinks once timer lag has decreased', () => {
+  it('is bounded by a fraction of the target, and shrinks once timer lag has decreased', () => {
     expect(withLag(500).cutOffDelay(100)).toBe(70);
     const margin = withLag(500);
     for (let index = 0; index < 600; index += 1) margin.recordTimerLag(1);
--- a/test/gateway/burst-simulation.test.ts
+++ b/test/gateway/burst-simulation.test.ts
@@ -26,11 +26,11 @@
 const WORK_MS = 114;
 const TARGET_MS = 1_002;
 const DEADLINE_MS = 8_012;
-/** The usual request rate as a share of the replicas' capacity. */
-const USUAL_PART = 0.5;
+/** The usual request rate as a fraction of the replicas' capacity. */
+const USUAL_LOAD_FRACTION = 0.5;
 const BURST_FACTOR = 2.6;
 const BURST_MS = 6_000;
-const PLAYED_MS = 8_000;
+const DURATION_MS = 8_000;
 
 const TABLE = new RouteTable(
   readRouteDocument(
@@ -55,7 +55,7 @@
   ),
 );
 
-interface Played {
+interface BurstResult {
   readonly requests: number;
   readonly inTime: number;
   readonly late: number;
@@ -131,11 +131,11 @@
 }
 
 /** Simulates a burst of callers that retry once after a refusal, after the delay they got. */
-async function play(
+async function simulateBurst(
   { workMs, fault }: Scenario,
   changed: Partial<GatewayMechanisms>,
   seed = 3,
-): Promise<Played> {
+): Promise<BurstResult> {
   const simulation = new Simulation(seed);
   const arrivals = seededRandom(seed, 'arrivals');
   const returns = seededRandom(seed, 'returns');
@@ -167,14 +167,14 @@
       else if (status !== 503) counts.failed += 1;
       if (status !== 503) return;
       counts.slowestRefusal = Math.max(counts.slowestRefusal, clock.now() - askedAt);
-      const pause = Number(headers['retry-after']) * 1_000;
-      await clock.sleep(Math.min(pause, (deadline - clock.now()) / 3));
+      const retryDelay = Number(headers['retry-after']) * 1_000;
+      await clock.sleep(Math.min(retryDelay, (deadline - clock.now()) / 3));
     }
     counts.refused += 1;
   };
-  const usualRate = (USUAL_PART * REPLICAS * SLOTS) / WORK_MS;
+  const usualRate = (USUAL_LOAD_FRACTION * REPLICAS * SLOTS) / WORK_MS;
   const asked: Promise<void>[] = [];
-  for (let now = 0; now < PLAYED_MS; now = simulation.now) {
+  for (let now = 0; now < DURATION_MS; now = simulation.now) {
     const isBurst = now > 1_000 && now < 1_000 + BURST_MS;
     const rate = usualRate * (isBurst ? BURST_FACTOR : 1);
     await simulation.runFor(-Math.log(1 - arrivals.nextFloat()) / rate);
@@ -187,9 +187,9 @@
 
 const BEFORE = { boundedConnecting: false, expectedWait: false, endedReplicas: false };
 
-async function compare(name: string, scenario: Scenario): Promise<[Played, Played]> {
-  const before = await play(scenario, BEFORE);
-  const after = await play(scenario, { expectedWait: true });
+async function compare(name: string, scenario: Scenario): Promise<[BurstResult, BurstResult]> {
+  const before = await simulateBurst(scenario, BEFORE);
+  const after = await simulateBurst(scenario, { expectedWait: true });
   console.log(name, 'before', JSON.stringify(before), 'after', JSON.stringify(after));
   return [before, after];
 }
@@ -215,8 +215,8 @@
   ];
   it.each(scenarios)(
     'with %s answers more requests in time than without the bounds',
-    async (...played) => {
-      const [before, after] = await compare(...played);
+    async (...scenario) => {
+      const [before, after] = await compare(...scenario);
       expect(after.requests).toBe(before.requests);
       expect(after.inTime).toBeGreaterThan(before.inTime);
       expect(after.slowestRefusal).toBeLessThanOrEqual(TARGET_MS / 2 + 5);
--- a/test/gateway/expected-wait.test.ts
+++ b/test/gateway/expected-wait.test.ts
@@ -56,7 +56,7 @@
     expect(expectedWait(idle, WORK_MS, NOW)).toBe(150);
   });
 
-  it('is longer at one that was slow lately', () => {
+  it('is longer at a replica that was slow recently', () => {
     const slow = replica(2, 2);
     slow.recordLatency(8, NOW);
     expect(expectedWait(slow, WORK_MS, NOW)).toBeGreaterThan(300);
--- a/test/gateway/mechanisms.test.ts
+++ b/test/gateway/mechanisms.test.ts
@@ -64,10 +64,7 @@
   expect(arrivalsAt(replicas)).toBe(1);
 });
 
-/**
- * Sends many requests to one replica that answers none; counts those refused within {@link
- * IMMEDIATE_MS}.
- */
+/** Sends {@link MANY} requests to one replica that answers none; counts immediate refusals. */
 async function refusedAtOnce(mechanisms: Partial<GatewayMechanisms>): Promise<number> {
   const { harness, replicas } = await start(['desk'], { ...mechanisms, hedging: false }, 1);
   for (const replica of replicas) replica.workMs = NEVER_MS;
--- a/test/gateway/replacement-signal.test.ts
+++ b/test/gateway/replacement-signal.test.ts
@@ -59,25 +59,25 @@
   });
 
   it('waits until its deadline if the mechanism is off', async () => {
-    const played = await sendToReplacedReplica(
+    const result = await sendToReplacedReplica(
       { execution: 'atMostOnce' },
       { endedReplicas: false },
     );
-    expect(played.status).toBe(504);
-    expect(played.tookMs).toBeGreaterThan(DEADLINE_MS - 100);
+    expect(result.status).toBe(504);
+    expect(result.tookMs).toBeGreaterThan(DEADLINE_MS - 100);
   });
 });
 
 describe('a replacement signal', () => {
   it('calls each callback once, and no cancelled callback', () => {
     const signal = new ReplacementSignal();
-    const told: string[] = [];
-    const cancelled = (): void => void told.push('cancelled');
-    signal.once(() => told.push('waiting'));
+    const called: string[] = [];
+    const cancelled = (): void => void called.push('cancelled');
+    signal.once(() => called.push('waiting'));
     signal.once(cancelled);
     signal.cancel(cancelled);
     signal.emit();
     signal.emit();
-    expect(told).toEqual(['waiting']);
+    expect(called).toEqual(['waiting']);
   });
 });
--- a/test/gateway/replica-choice.test.ts
+++ b/test/gateway/replica-choice.test.ts
@@ -44,7 +44,7 @@
       excluded: new Set(),
       medianLatency: 20,
       targetLatency: 100,
-      valueShare: 1,
+      valueFraction: 1,
       maximumInFlight: 8,
       coldSendInterval: Infinity,
       ...query,
@@ -80,11 +80,11 @@
   expect(zones.choose(0)).toBe(zones.far);
 });
 
-it('tolerates a slower near replica the smaller the value share of the answer is', () => {
+it('tolerates a slower near replica if less of the value depends on the answer', () => {
   const zones = new TwoZones();
   zones.occupyNear(4);
-  expect(zones.choose(0.2, { valueShare: 1 })).toBe(zones.far);
-  expect(zones.choose(0.2, { valueShare: 0.1 })).toBe(zones.near);
+  expect(zones.choose(0.2, { valueFraction: 1 })).toBe(zones.far);
+  expect(zones.choose(0.2, { valueFraction: 0.1 })).toBe(zones.near);
 });
 
 it('chooses the other zone if the near replica is excluded', () => {
@@ -142,5 +142,5 @@
 it('avoids a late near replica of one of many shards too, whatever the cross-zone cost', () => {
   const zones = new TwoZones();
   zones.occupyNear(12);
-  expect(zones.choose(0.2, { valueShare: 0.02 })).toBe(zones.far);
+  expect(zones.choose(0.2, { valueFraction: 0.02 })).toBe(zones.far);
 });
--- a/test/gateway/replica-incarnations.test.ts
+++ b/test/gateway/replica-incarnations.test.ts
@@ -7,7 +7,7 @@
 
 async function startWithOneReplica() {
   const harness = await GatewayHarness.start();
-  const replica = await harness.addReplica('ledger', 'first life', 'nayoro', BORN_AT);
+  const replica = await harness.addReplica('ledger', 'first incarnation', 'nayoro', BORN_AT);
   await harness.putRoutes([{ pathPrefix: '/ledger/', service: 'ledger' }]);
   return { harness, replica };
 }
--- a/test/gateway/retry-schedule.test.ts
+++ b/test/gateway/retry-schedule.test.ts
@@ -30,7 +30,7 @@
     }
   });
 
-  it('is bounded by a share of the remaining time, and recovers after many refusals', () => {
+  it('is bounded by a fraction of the remaining time, and recovers after many refusals', () => {
     expect(Math.max(...delaysOf(10_000, { remaining: 1_000 }))).toBeLessThanOrEqual(300);
     const times = new RetrySchedule(seededRandom(5, 'retry-times'));
     for (let index = 0; index < 10_000; index += 1) times.next({ ...REFUSED, remaining: 1_000 });
--- a/test/gateway/route-latency.test.ts
+++ b/test/gateway/route-latency.test.ts
@@ -13,11 +13,11 @@
 }
 
 describe('the hedge delay', () => {
-  it('is a share of the target while nothing is known', () => {
+  it('is a fraction of the target while nothing is known', () => {
     expect(new RouteLatency(TARGET_MS).hedgeDelay).toBe(30);
   });
 
-  it('is the 90th percentile of attempts, and at most a share of the target', () => {
+  it('is the 90th percentile of attempts, and at most a fraction of the target', () => {
     expect(learned(10, 10, 10, 10, 10, 10, 10, 10, 25, 25).hedgeDelay).toBeCloseTo(25, -1);
     expect(learned(10, 10, 10, 10, 10, 10, 10, 10, 90, 90).hedgeDelay).toBe(38);
   });
--- a/test/gateway/split-chooser.test.ts
+++ b/test/gateway/split-chooser.test.ts
@@ -26,8 +26,8 @@
   );
 }
 
-/** Share of the first service among `requests` that arrive at random gateways. */
-function shareOfFirst(
+/** Fraction of `requests`, which arrive at random gateways, that the first service gets. */
+function fractionOfFirst(
   fleet: readonly SplitChooser[],
   split: readonly SplitPart[],
   requests: number,
@@ -49,8 +49,13 @@
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 9 }), fc.nat(), (weight, seed) => {
         const [gateway] = createFleet(1, seed);
-        const share = shareOfFirst([gateway as SplitChooser], splitOf(weight, 10 - weight), 40, 1);
-        expect(Math.abs(share - weight / 10)).toBeLessThan(0.03);
+        const fraction = fractionOfFirst(
+          [gateway as SplitChooser],
+          splitOf(weight, 10 - weight),
+          40,
+          1,
+        );
+        expect(Math.abs(fraction - weight / 10)).toBeLessThan(0.03);
       }),
     );
   });
@@ -62,8 +67,8 @@
       fc.property(sizes, weights, fc.nat({ max: 100 }), (gateways, pair, seed) => {
         const [first = 0, second = 0] = pair;
         const fleet = createFleet(gateways, seed);
-        const share = shareOfFirst(fleet, splitOf(first, second), 300, seed);
-        expect(Math.abs(share - first / (first + second))).toBeLessThan(0.1);
+        const fraction = fractionOfFirst(fleet, splitOf(first, second), 300, seed);
+        expect(Math.abs(fraction - first / (first + second))).toBeLessThan(0.1);
       }),
       { seed: 5, numRuns: 300 },
     );
