--- a/src/gateway/attempt-evidence.ts
+++ b/src/gateway/attempt-evidence.ts
@@ -3,7 +3,7 @@
 import { HttpClientError } from '../errors/http-client-error.js';
 import { describeRequest } from '../quarantine/quarantine-entry.js';
 import { TrialResult } from '../quarantine/quarantine-metrics.js';
-import type { WatchedRequest } from '../quarantine/abandoned-attempts.js';
+import type { RequestIdentity } from '../quarantine/abandoned-attempts.js';
 import { NotRunReason, isConnectionLost, type AttemptResult } from './attempt-result.js';
 import type { CallerRequest } from './caller-request.js';
 import type { GatewayContext } from './gateway-context.js';
@@ -22,7 +22,7 @@
   readonly isTrial: boolean;
 }
 
-function describeWatched({ fingerprint, method, headers, target }: CallerRequest): WatchedRequest {
+function describeWatched({ fingerprint, method, headers, target }: CallerRequest): RequestIdentity {
   const description = describeRequest(method, headers['host'] ?? '', target);
   return { fingerprint, description };
 }
@@ -34,19 +34,23 @@
   const replicaId = lifeIdOf(target.entry);
   // A replica that announced its departure closes connections on purpose.
   if (isConnectionLost(result) && targets.isRegistered(target)) {
-    crashGuard.noteReplicaLost(replicaId);
+    crashGuard.recordReplicaLoss(replicaId);
     if (isTrial) void finishLostTrial(context, attempt);
-    else crashGuard.noteEnded(describeWatched(request), replicaId, false);
+    else crashGuard.recordTermination(describeWatched(request), replicaId, false);
     return;
   }
   const isAnswer = result.kind === 'answered' || result.kind === 'failedAnswer';
-  if (isAnswer) crashGuard.noteAnswer(request.fingerprint);
+  if (isAnswer) crashGuard.recordAnswer(request.fingerprint);
   if (result.kind === 'cancelled') {
     const leftMs = request.deadline - environment.clock.now();
-    crashGuard.noteAbandoned(replicaId, { request: describeWatched(request), isTrial }, leftMs);
+    crashGuard.recordAbandonedAttempt(
+      replicaId,
+      { request: describeWatched(request), isTrial },
+      leftMs,
+    );
   }
   const isUnreachable = result.kind === 'notRun' && result.reason === NotRunReason.Unreachable;
-  if (isUnreachable) crashGuard.noteReplicaLost(replicaId);
+  if (isUnreachable) crashGuard.recordReplicaLoss(replicaId);
   if (!isTrial) return;
   const trialResult = isAnswer ? TrialResult.Answered : TrialResult.Undecided;
   crashGuard.endTrial(request.fingerprint, trialResult);
@@ -62,7 +66,8 @@
   // A supervisor may already have restarted it, as another replica at the same address.
   const hasEnded = isRefusing || target.successor !== undefined;
   const hasLeft = !targets.isRegistered(target);
-  if (!hasLeft) crashGuard.noteEnded(describeWatched(request), lifeIdOf(target.entry), hasEnded);
+  if (!hasLeft)
+    crashGuard.recordTermination(describeWatched(request), lifeIdOf(target.entry), hasEnded);
   const result = hasEnded ? TrialResult.ReplicaEnded : TrialResult.Undecided;
   crashGuard.endTrial(request.fingerprint, result);
 }
--- a/src/gateway/create-gateway-context.ts
+++ b/src/gateway/create-gateway-context.ts
@@ -52,9 +52,9 @@
   const decisionLog = new DecisionLog(clock, telemetry.logger);
   const decisions = new RequestDecisions(clock, decisionLog);
   const metrics = new GatewayMetrics(telemetry.registry);
-  const noteUnreadable = (report: UnreadableReport): void => {
+  const onUnreadableReport = (report: UnreadableReport): void => {
     metrics.unreadableReports.inc();
-    decisions.unreadableReport(report);
+    decisions.logUnreadableReport(report);
   };
   const crashGuard = new CrashGuard({
     clock,
@@ -62,8 +62,8 @@
     registry: telemetry.registry,
     gateway: options.name,
     send: options.reportEvidence,
-    isOn: mechanisms.quarantine,
-    hasTrials: mechanisms.crashTrials,
+    isEnabled: mechanisms.quarantine,
+    areTrialsEnabled: mechanisms.crashTrials,
   });
   return {
     environment,
@@ -72,7 +72,7 @@
     targets: new ServiceTargets(environment, directory),
     regions,
     choice: new ReplicaChoice(clock, random, placement, mechanisms),
-    sender: new AttemptSender(clock, headers, noteUnreadable, traffic),
+    sender: new AttemptSender(clock, headers, onUnreadableReport, traffic),
     latencies: new RouteLatencies(),
     shares: new FleetShares(clock, secondSends, countGateways, mechanisms.youngShares),
     retrySchedule: new RetrySchedule(random),
--- a/src/gateway/replica-race.ts
+++ b/src/gateway/replica-race.ts
@@ -3,7 +3,7 @@
  * fails or is late, and takes the first complete answer. A request that is not repeatable is sent
  * again only if it certainly did not run.
  */
-import { Admission } from '../quarantine/crash-guard.js';
+import { CrashGuardDecision } from '../quarantine/crash-guard.js';
 import { recordCrashEvidence } from './attempt-evidence.js';
 import { observeAttempt } from './attempt-observer.js';
 import type { AttemptRecord } from './attempt-record.js';
@@ -180,16 +180,16 @@
     const { crashGuard } = this.context;
     const { fingerprint } = this.request;
     const admission = crashGuard.admit(fingerprint, this.onQuarantineUpdate);
-    if (admission === Admission.Wait) return true;
-    if (admission === Admission.Refused) {
+    if (admission === CrashGuardDecision.Wait) return true;
+    if (admission === CrashGuardDecision.Refused) {
       this.failQuarantined();
       return true;
     }
-    const isTrial = admission === Admission.Trial;
+    const isTrial = admission === CrashGuardDecision.Trial;
     const isWithinBudget = budget === undefined || budget.takeExtraAttempt(this.service);
     if (isWithinBudget)
       this.send(isTrial ? this.candidates.chooseForTrial(target) : target, isTrial);
-    else if (isTrial) crashGuard.returnTrial(fingerprint, this.onQuarantineUpdate);
+    else if (isTrial) crashGuard.cancelTrial(fingerprint, this.onQuarantineUpdate);
     return isWithinBudget;
   }
 
@@ -209,7 +209,7 @@
     const { crashGuard } = this.context;
     const { fingerprint } = this.request;
     if (crashGuard.isQuarantined(fingerprint)) this.failQuarantined();
-    else if (this.inFlight.size > 0) crashGuard.onceNews(fingerprint, this.onQuarantineUpdate);
+    else if (this.inFlight.size > 0) crashGuard.onceChanged(fingerprint, this.onQuarantineUpdate);
     else if (this.lastResult === undefined) this.begin();
     else this.continueAfter(this.lastResult);
   };
@@ -241,12 +241,12 @@
     record.result = result;
     observeAttempt(this.context, this.request.route, this.options.latency, target, record);
     if (isConnectionLost(result)) {
-      this.context.decisions.connectionLost(this.request, this.service, record);
+      this.context.decisions.logConnectionLost(this.request, this.service, record);
     }
     // Unsubscribed first: recordCrashEvidence may end the trial, and the callback would continue
     // the race before this result is counted.
     if (isTrial)
-      this.context.crashGuard.cancelNews(this.request.fingerprint, this.onQuarantineUpdate);
+      this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onQuarantineUpdate);
     recordCrashEvidence(this.context, { request: this.request, target, result, isTrial });
     if (result.kind === 'answered') {
       if (this.outcome === undefined) this.finish({ kind: 'answered', answer: result.answer });
@@ -314,7 +314,7 @@
 
   private abandonInFlight(): void {
     this.context.targets.cancelCapacity(this.service, this.onCapacity);
-    this.context.crashGuard.cancelNews(this.request.fingerprint, this.onQuarantineUpdate);
+    this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onQuarantineUpdate);
     this.retryTimer?.cancel();
     for (const attempt of this.inFlight) attempt.abandon();
   }
--- a/src/router/shard-execution.ts
+++ b/src/router/shard-execution.ts
@@ -37,7 +37,7 @@
   ) {
     this.candidates = new ShardCandidates(
       router.registry,
-      query.service.policies.outliers,
+      query.service.policies.outlierEjection,
       shard,
       queryTry.plan.snapshotText,
     );
@@ -122,8 +122,8 @@
 
   private earnBudgets(): void {
     const { hedge, retry } = this.query.service.policies;
-    hedge.recordPrimary(this.shard.shardId);
-    retry.recordPrimary();
+    hedge.recordFirstAttempt(this.shard.shardId);
+    retry.recordFirstAttempt();
   }
 
   private hedgeDelay(): number | undefined {
@@ -137,7 +137,7 @@
     if (this.queryTry.ended.aborted) return undefined;
     const record = this.select(this.candidates.siblings());
     if (record === undefined) return undefined;
-    if (!this.query.service.policies.hedge.takeBudget()) return undefined;
+    if (!this.query.service.policies.hedge.tryTakeBudget()) return undefined;
     return this.launch('hedge', record);
   }
 
--- a/test/gateway/burst-simulation.test.ts
+++ b/test/gateway/burst-simulation.test.ts
@@ -91,7 +91,7 @@
     regions: new ZoneRegions({}, { zone: 'a', region: 'r' }),
     secondSends: { ratio: 0.2, slack: 214, windowMs: 10_000 },
     lease: { isHeld: true, retryAfterMs: 0 },
-    quota: { take: () => ({ isAdmitted: true }), giveBack: () => undefined },
+    quota: { take: () => ({ isAdmitted: true }), returnToken: () => undefined },
     countGateways: () => GATEWAYS,
     reportEvidence: () => false,
   });
@@ -208,10 +208,10 @@
       { ...USUAL, workMs: (index) => (index % 3 === 0 ? 8 : 1) * WORK_MS },
     ],
     ['no load reports', { ...USUAL, fault: () => ModelFault.Silent }],
-    ['load reports that are always idle', { ...USUAL, fault: () => ModelFault.SaysIdle }],
-    ['a third of the replicas always reporting full', withFault(ModelFault.SaysFull)],
+    ['load reports that are always idle', { ...USUAL, fault: () => ModelFault.ReportsIdle }],
+    ['a third of the replicas always reporting full', withFault(ModelFault.ReportsFull)],
     ['a third of the replicas never answering', withFault(ModelFault.Hangs)],
-    ['a third of the replicas dropping SYN packets', withFault(ModelFault.DropsOpenings)],
+    ['a third of the replicas dropping SYN packets', withFault(ModelFault.DropsConnections)],
   ];
   it.each(scenarios)(
     'with %s answers more requests in time than without the bounds',
--- a/test/gateway/replica-model.ts
+++ b/test/gateway/replica-model.ts
@@ -12,13 +12,13 @@
   /** It says nothing of its load. */
   Silent = 'silent',
   /** It always says that it is idle. */
-  SaysIdle = 'saysIdle',
+  ReportsIdle = 'saysIdle',
   /** It always says that its queue is full. */
-  SaysFull = 'saysFull',
+  ReportsFull = 'saysFull',
   /** It takes requests and never answers. */
   Hangs = 'hangs',
   /** Its listener drops opening packets. */
-  DropsOpenings = 'dropsOpenings',
+  DropsConnections = 'dropsOpenings',
 }
 
 /** In which the client gives up an opening by itself. Milliseconds. */
@@ -55,8 +55,9 @@
   }
 
   get load(): { running: number; waiting: number; slots: number } {
-    if (this.fault === ModelFault.SaysIdle) return { running: 0, waiting: 0, slots: SLOTS };
-    if (this.fault === ModelFault.SaysFull) return { running: SLOTS, waiting: 8_000, slots: SLOTS };
+    if (this.fault === ModelFault.ReportsIdle) return { running: 0, waiting: 0, slots: SLOTS };
+    if (this.fault === ModelFault.ReportsFull)
+      return { running: SLOTS, waiting: 8_000, slots: SLOTS };
     return { running: this.running, waiting: this.queue.length, slots: SLOTS };
   }
 
@@ -74,7 +75,7 @@
 ): Pick<AttemptSender, 'send'> {
   const exchange = async (target: ReplicaTarget, sending: SendOptions): Promise<AttemptResult> => {
     const model = models.get(target.entry.replicaId);
-    if (model === undefined || model.fault === ModelFault.DropsOpenings) {
+    if (model === undefined || model.fault === ModelFault.DropsConnections) {
       await clock.sleep(sending.connectTimeout ?? CONNECT_TIMEOUT_MS);
       return { kind: 'notRun', reason: NotRunReason.Unreachable };
     }
--- a/test/router/shard-execution.test.ts
+++ b/test/router/shard-execution.test.ts
@@ -95,11 +95,11 @@
       ...standard,
       replicaSelector: { select: ([first]) => first },
       hedge: {
-        recordPrimary: () => undefined,
+        recordFirstAttempt: () => undefined,
         recordLatency: () => undefined,
         recordUnfinished: () => undefined,
         hedgeDelay: () => HEDGE_DELAY,
-        takeBudget: () => (this.hedgesLeft -= 1) >= 0,
+        tryTakeBudget: () => (this.hedgesLeft -= 1) >= 0,
       },
       completion: {
         recordReply: (sinceAsked) => this.replies.push(sinceAsked),
