--- a/src/gateway/attempt-evidence.ts
+++ b/src/gateway/attempt-evidence.ts
@@ -1,7 +1,4 @@
-/**
- * What the end of an attempt says of the request: whether it may be what ends the replicas
- * that run it.
- */
+/** Reports ended attempts to the crash guard, which detects requests that crash their replicas. */
 import { lifeIdOf } from '../directory/replica-entry.js';
 import { HttpClientError } from '../errors/http-client-error.js';
 import { describeRequest } from '../quarantine/quarantine-entry.js';
@@ -12,8 +9,8 @@
 import type { GatewayContext } from './gateway-context.js';
 import type { ReplicaTarget } from './replica-target.js';
 
-/** A process that ended refuses connections at once; longer than a connection takes. Milliseconds. */
-const CONFIRM_TIMEOUT_MS = 500;
+/** Longer than a connection takes to open; an ended process refuses connections at once. */
+const CRASH_CHECK_TIMEOUT_MS = 500;
 const DEFAULT_HEALTH_PATH = '/health';
 
 /** An attempt that has ended. */
@@ -21,32 +18,36 @@
   readonly request: CallerRequest;
   readonly target: ReplicaTarget;
   readonly result: AttemptResult;
-  /** It was the only sending of a suspected request. */
+  /** Whether this attempt was a trial: the only attempt of a suspected request. */
   readonly isTrial: boolean;
 }
 
-function watched({ fingerprint, method, headers, target }: CallerRequest): RequestIdentity {
+function describeWatched({ fingerprint, method, headers, target }: CallerRequest): RequestIdentity {
   const description = describeRequest(method, headers['host'] ?? '', target);
   return { fingerprint, description };
 }
 
-/** Takes in an attempt that has ended, also when its answer was not wanted any more. */
-export function noteEvidence(context: GatewayContext, attempt: EndedAttempt): void {
+/** Records an ended attempt, including one that was cancelled. */
+export function recordCrashEvidence(context: GatewayContext, attempt: EndedAttempt): void {
   const { crashGuard, environment, targets } = context;
   const { request, target, result, isTrial } = attempt;
   const replicaId = lifeIdOf(target.entry);
-  // One that has said that it leaves ends on purpose.
+  // A replica that announced its departure closes connections on purpose.
   if (isConnectionLost(result) && targets.isRegistered(target)) {
     crashGuard.recordReplicaLoss(replicaId);
-    if (isTrial) void endLostTrial(context, attempt);
-    else crashGuard.recordTermination(watched(request), replicaId, false);
+    if (isTrial) void finishLostTrial(context, attempt);
+    else crashGuard.recordTermination(describeWatched(request), replicaId, false);
     return;
   }
   const isAnswer = result.kind === 'answered' || result.kind === 'failedAnswer';
   if (isAnswer) crashGuard.recordAnswer(request.fingerprint);
   if (result.kind === 'cancelled') {
     const leftMs = request.deadline - environment.clock.now();
-    crashGuard.recordAbandonedAttempt(replicaId, { request: watched(request), isTrial }, leftMs);
+    crashGuard.recordAbandonedAttempt(
+      replicaId,
+      { request: describeWatched(request), isTrial },
+      leftMs,
+    );
   }
   const isUnreachable = result.kind === 'notRun' && result.reason === NotRunReason.Unreachable;
   if (isUnreachable) crashGuard.recordReplicaLoss(replicaId);
@@ -55,17 +56,18 @@
   crashGuard.endTrial(request.fingerprint, trialResult);
 }
 
-/** A connection that was reset under a trial counts against the request only when the replica has ended. */
-async function endLostTrial(
+/** Counts a connection lost during a trial against the request only if the replica has ended. */
+async function finishLostTrial(
   context: GatewayContext,
   { request, target }: EndedAttempt,
 ): Promise<void> {
   const { crashGuard, targets } = context;
   const isRefusing = await refusesConnections(context, request, target);
-  // Its supervisor may have started it again already, as another replica at the same address.
+  // A supervisor may already have restarted it, as another replica at the same address.
   const hasEnded = isRefusing || target.successor !== undefined;
   const hasLeft = !targets.isRegistered(target);
-  if (!hasLeft) crashGuard.recordTermination(watched(request), lifeIdOf(target.entry), hasEnded);
+  if (!hasLeft)
+    crashGuard.recordTermination(describeWatched(request), lifeIdOf(target.entry), hasEnded);
   const result = hasEnded ? TrialResult.ReplicaEnded : TrialResult.Undecided;
   crashGuard.endTrial(request.fingerprint, result);
 }
@@ -76,7 +78,7 @@
   { client, entry, address }: ReplicaTarget,
 ): Promise<boolean> {
   const abort = new AbortController();
-  const timer = environment.clock.setTimer(CONFIRM_TIMEOUT_MS, () => abort.abort());
+  const timer = environment.clock.setTimer(CRASH_CHECK_TIMEOUT_MS, () => abort.abort());
   const path = table.service(entry.service)?.healthPath ?? DEFAULT_HEALTH_PATH;
   try {
     const headers = { host: address };
--- a/src/gateway/connection-warmer.ts
+++ b/src/gateway/connection-warmer.ts
@@ -1,72 +1,75 @@
 /**
- * Keeps a connection open to replicas that are used seldom or not yet, so that a
- * request need not wait for one: a replica that has just registered, or whose
- * connections would soon be closed because they rest. Replicas in use cost nothing.
+ * Keeps connections open to replicas that are rarely used or not used yet, so that requests don't
+ * wait for a connection. It sends health checks to replicas that have just registered or whose idle
+ * connections would soon be closed. Replicas in use get no checks.
  */
 import type { Clock } from '../seams/clock.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { ReplicaTarget } from './replica-target.js';
 
-const LOOK_INTERVAL_MS = 250;
-/** A replica that had no request for this long is asked for its health. */
-const REST_MS = 6_000;
-/** Spread of that, so that the gateways do not all ask at once. */
-const REST_SPREAD_MS = 1_500;
-/** A replica that is not used between so many checks is let go. */
-const CHECKS_WITHOUT_USE = 2;
-/** Most replicas that are kept warm; further ones are connected to when they are needed. */
+const SCAN_INTERVAL_MS = 250;
+/** Idle time after which a replica gets a health check. */
+const IDLE_MS = 6_000;
+/** Random addition to {@link IDLE_MS}, so that gateways don't all check at once. */
+const IDLE_JITTER_MS = 1_500;
+/** Checks without a request in between, after which a replica is not checked until it gets one. */
+const MAXIMUM_UNUSED_CHECKS = 2;
+/** Replicas beyond this number are connected to on demand. */
 const MAXIMUM_TARGETS = 256;
-/** Health checks of one look, so that they do not delay requests. */
-const CHECKS_PER_LOOK = 12;
+/** Bounds the health checks of one scan so that they don't delay requests. */
+const CHECKS_PER_SCAN = 12;
 const CHECK_TIMEOUT_MS = 1_000;
 
-/** What is kept warm. */
-export interface WarmerParts {
+/** Dependencies of {@link keepConnectionsWarm}. */
+export interface ConnectionWarmerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly targets: () => Iterable<ReplicaTarget>;
-  /** Whether the service is asked from here, by requests so short that a new connection is felt. */
-  readonly isWorthIt: (service: string) => boolean;
-  /** Path of the health check of a service. */
+  /**
+   * Whether this gateway calls the service, with requests so short that connecting delays them
+   * noticeably.
+   */
+  readonly shouldKeepWarm: (service: string) => boolean;
+  /** Returns the health check path of a service. */
   readonly healthPath: (service: string) => string;
-  /** Name of the header by which a replica says how long it stays cold. */
+  /** Name of the response header with a replica's remaining warmup time. */
   readonly warmupHeader: string;
   readonly stopped: AbortSignal;
 }
 
-/** Runs until stopped. */
-export async function keepConnectionsWarm(parts: WarmerParts): Promise<void> {
-  const { clock, stopped } = parts;
+/** Scans replicas periodically until `stopped` is aborted. */
+export async function keepConnectionsWarm(options: ConnectionWarmerOptions): Promise<void> {
+  const { clock, stopped } = options;
   while (!stopped.aborted) {
-    checkResting(parts);
-    await clock.sleep(LOOK_INTERVAL_MS, stopped).catch(() => undefined);
+    checkIdleReplicas(options);
+    await clock.sleep(SCAN_INTERVAL_MS, stopped).catch(() => undefined);
   }
 }
 
-function checkResting(parts: WarmerParts): void {
-  const now = parts.clock.now();
-  let looked = 0;
+function checkIdleReplicas(options: ConnectionWarmerOptions): void {
+  const now = options.clock.now();
+  let scanned = 0;
   let checked = 0;
-  for (const target of parts.targets()) {
-    if (!parts.isWorthIt(target.entry.service)) continue;
-    looked += 1;
-    if (looked > MAXIMUM_TARGETS || checked >= CHECKS_PER_LOOK) return;
-    const isDue = now >= target.warmCheckAt && target.warmChecks < CHECKS_WITHOUT_USE;
+  for (const target of options.targets()) {
+    if (!options.shouldKeepWarm(target.entry.service)) continue;
+    scanned += 1;
+    if (scanned > MAXIMUM_TARGETS || checked >= CHECKS_PER_SCAN) return;
+    const isDue = now >= target.nextWarmCheckAt && target.unusedChecks < MAXIMUM_UNUSED_CHECKS;
     if (!isDue || target.inFlight > 0) continue;
-    if (target.isResting(now) || target.isReplaced(now)) continue;
+    if (target.isBackingOff(now) || target.isReplaced(now)) continue;
     checked += 1;
-    target.warmChecks += 1;
-    target.warmCheckAt = now + REST_MS + parts.random.nextFloat() * REST_SPREAD_MS;
-    void check(parts, target);
+    target.unusedChecks += 1;
+    target.nextWarmCheckAt = now + IDLE_MS + options.random.nextFloat() * IDLE_JITTER_MS;
+    void checkHealth(options, target);
   }
 }
 
 /**
- * Whether the replica says that it is healthy decides nothing: that lags, and requests
- * show what counts. How long it stays cold is taken from the answer.
+ * Sends a health check and records the warmup time from the response. The health status is ignored:
+ * it lags behind what requests show.
  */
-async function check(parts: WarmerParts, target: ReplicaTarget): Promise<void> {
-  const { clock, healthPath, warmupHeader } = parts;
+async function checkHealth(options: ConnectionWarmerOptions, target: ReplicaTarget): Promise<void> {
+  const { clock, healthPath, warmupHeader } = options;
   const abort = new AbortController();
   const timer = clock.setTimer(CHECK_TIMEOUT_MS, () => abort.abort());
   const { entry, client, address } = target;
@@ -76,7 +79,7 @@
     .request({ method: 'GET', path, headers: { host: address }, signal: abort.signal })
     .catch(() => undefined);
   const warmupMs = Number(response?.headers[warmupHeader] ?? 0);
-  if (Number.isFinite(warmupMs)) target.noteWarmup(warmupMs, clock.now());
+  if (Number.isFinite(warmupMs)) target.recordWarmup(warmupMs, clock.now());
   target.end(attempt);
   timer.cancel();
 }
--- a/src/gateway/overload-shedding.ts
+++ b/src/gateway/overload-shedding.ts
@@ -1,86 +1,90 @@
 /**
- * Refuses a part of the fan-outs while the replicas of their shards are
- * overloaded, so that the others are answered in time. What replicas say of
- * their queues decides: a few slow replicas are no overload, queues at most of
- * them are.
+ * Sheds a part of the fan-outs while the replicas of their shards are overloaded, so that the
+ * others are answered in time. The decision uses the queues that replicas report: queues at a few
+ * slow replicas are no overload, queues at most replicas are.
  */
 import type { RandomSource } from '../seams/random-source.js';
 import type { ReportedLoad } from './reported-load.js';
 
-/** Reports after which the admitted part is reckoned afresh. */
-const WINDOW_REPORTS = 100;
-/** Above this share of reports with a long queue the admitted part is multiplied by a factor. */
-const HEAVY_SHARE = 0.6;
-const HEAVY_FACTOR = 0.82;
-/** Below this share the admitted part grows by a step. */
-const LIGHT_SHARE = 0.35;
-const GROWTH_STEP = 0.12;
-const LEAST_ADMITTED = 0.3;
-/** Of two requests the less urgent is refused a little more often for each rank. */
-const RANK_PART = 0.04;
+/** Load reports after which the admitted part is adjusted. */
+const REPORTS_PER_WINDOW = 100;
+/**
+ * Above this fraction of reports with a long queue, the admitted part is multiplied by
+ * {@link DECREASE_FACTOR}.
+ */
+const OVERLOADED_FRACTION = 0.6;
+const DECREASE_FACTOR = 0.82;
+/** Below this fraction, the admitted part grows by {@link INCREASE_STEP}. */
+const UNLOADED_FRACTION = 0.35;
+const INCREASE_STEP = 0.12;
+const MINIMUM_ADMITTED = 0.3;
+/** Additional probability of refusal per step of priority; a higher number is less urgent. */
+const PRIORITY_STEP = 0.04;
 
-/** Weight of one leaf's word: each speaks for a part of the shards. */
-const LEARNED_WEIGHT = 0.15;
+/** Weight of one leaf's admitted part, low because a leaf covers only some of the shards. */
+const LEAF_WEIGHT = 0.15;
 
-/** Of one set of shards. */
-class SetLoad {
+/** Admission state of one set of shards. */
+class ShardSetLoad {
   admitted = 1;
   private reports = 0;
   private longQueues = 0;
 
-  /** What a leaf admits for some of the shards moves the whole set by a part. */
-  learn(admitted: number): void {
-    this.admitted += (admitted - this.admitted) * LEARNED_WEIGHT;
+  /** Moves the admitted part of the whole set towards that of a leaf. */
+  mergeAdmitted(admitted: number): void {
+    this.admitted += (admitted - this.admitted) * LEAF_WEIGHT;
   }
 
-  note({ waiting, slots }: ReportedLoad): void {
+  recordLoad({ waiting, slots }: ReportedLoad): void {
     this.reports += 1;
     if (waiting >= Math.max(1, slots)) this.longQueues += 1;
-    if (this.reports < WINDOW_REPORTS) return;
+    if (this.reports < REPORTS_PER_WINDOW) return;
     this.adjust(this.longQueues / this.reports);
     this.reports = 0;
     this.longQueues = 0;
   }
 
-  private adjust(share: number): void {
-    if (share > HEAVY_SHARE) this.admitted *= HEAVY_FACTOR;
-    else if (share < LIGHT_SHARE) this.admitted += GROWTH_STEP;
-    this.admitted = Math.min(1, Math.max(LEAST_ADMITTED, this.admitted));
+  private adjust(longQueueFraction: number): void {
+    if (longQueueFraction > OVERLOADED_FRACTION) this.admitted *= DECREASE_FACTOR;
+    else if (longQueueFraction < UNLOADED_FRACTION) this.admitted += INCREASE_STEP;
+    this.admitted = Math.min(1, Math.max(MINIMUM_ADMITTED, this.admitted));
   }
 }
 
-/** See the module comment. */
+/** Load shedding by set of shards; a set is identified by its first shard. */
 export class OverloadShedding {
-  private readonly sets = new Map<string, SetLoad>();
+  private readonly sets = new Map<string, ShardSetLoad>();
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Whether a fan-out over the set that begins with `firstShard` is taken on. */
+  /** Randomly decides whether to admit a fan-out over the set that begins with `firstShard`. */
   admits(firstShard: string, priority: number): boolean {
     const admitted = this.admittedPart(firstShard);
     if (admitted >= 1) return true;
-    return this.random.nextFloat() < admitted - RANK_PART * priority;
+    return this.random.nextFloat() < admitted - PRIORITY_STEP * priority;
   }
 
-  /** A replica of the set told its load. */
-  note(firstShard: string, load: ReportedLoad): void {
-    this.setOf(firstShard).note(load);
+  /** Records a load report of a replica of the set. */
+  recordLoad(firstShard: string, load: ReportedLoad): void {
+    this.setOf(firstShard).recordLoad(load);
   }
 
-  /** Part of the requests to the set that is taken on. */
+  /** Fraction of the requests to the set that is admitted, from 0 to 1. */
   admittedPart(firstShard: string): number {
     return this.sets.get(firstShard)?.admitted ?? 1;
   }
 
-  /** Another gateway, which asks some shards of the set, takes on this part. */
-  learn(firstShard: string, admittedPart: number): void {
-    this.setOf(firstShard).learn(Math.min(1, Math.max(LEAST_ADMITTED, admittedPart)));
+  /**
+   * Takes into account the admitted part of a leaf, a gateway that queries some shards of the set.
+   */
+  mergeAdmittedPart(firstShard: string, admittedPart: number): void {
+    this.setOf(firstShard).mergeAdmitted(Math.min(1, Math.max(MINIMUM_ADMITTED, admittedPart)));
   }
 
-  private setOf(firstShard: string): SetLoad {
+  private setOf(firstShard: string): ShardSetLoad {
     const known = this.sets.get(firstShard);
     if (known !== undefined) return known;
-    const set = new SetLoad();
+    const set = new ShardSetLoad();
     this.sets.set(firstShard, set);
     return set;
   }
--- a/src/gateway/replica-attempt.ts
+++ b/src/gateway/replica-attempt.ts
@@ -1,41 +1,41 @@
-/** One sending of a request to one replica, from its choice until its result is known. */
+/** One attempt: a request sent to one replica, from the choice of the replica to the result. */
 import { choiceInputs, type AttemptRecord } from './attempt-record.js';
 import { NotRunReason, REPLICA_ENDED, type AttemptResult } from './attempt-result.js';
 import type { CallerRequest } from './caller-request.js';
 import type { GatewayContext } from './gateway-context.js';
-import { LAST_WORDS_MS } from './replica-end.js';
+import { REPLACED_REPLICA_GRACE_MS } from './replacement-signal.js';
 import type { ReplicaTarget } from './replica-target.js';
-import type { Sending } from './send-attempt.js';
+import type { SendOptions } from './attempt-sender.js';
 
 /**
- * Longest time that an attempt goes on after its answer is not wanted any more: a pause of a
- * replica, and far less than the half second in which a caller's leaving has to reach it. Milliseconds.
+ * How long an abandoned attempt may continue: as long as a typical pause of a replica, and far less
+ * than the 500 ms within which a caller's disconnect must reach the replica.
  */
-const LINGER_MS = 200;
-/** Why attempts are aborted. One for all: an error made for each would cost more than the abort. */
-const NOT_WANTED = new Error('the answer is not wanted any more');
+const LINGER_TIMEOUT_MS = 200;
+/** Abort reason, shared because creating an error per attempt costs more than the abort itself. */
+const ABANDONED_ERROR = new Error('attempt abandoned: its answer is no longer needed');
 
-/** What is sent, where to and how. */
+/** Options of a {@link ReplicaAttempt}. */
 export interface ReplicaAttemptOptions {
   readonly request: CallerRequest;
   readonly target: ReplicaTarget;
-  /** The only sending of a suspected request from here. */
+  /** Whether this is a trial: the only attempt of a suspected request from this gateway. */
   readonly isTrial: boolean;
-  /** Whether it is given up when another replica has the address. */
-  readonly leavesEndedReplica: boolean;
-  /** Longest wait for a connection; that of the client alone when undefined. Milliseconds. */
-  readonly connectWithin: number | undefined;
-  /** Time between two sendings to the replica while it is cold. Milliseconds. */
-  readonly coldSlotLength: number;
+  /** Whether to abort the attempt when another replica takes over the address. */
+  readonly abortsOnReplacement: boolean;
+  /** Connect timeout in milliseconds; undefined for the client's own. */
+  readonly connectTimeout: number | undefined;
+  /** Interval between attempts to the replica while it is cold. Milliseconds. */
+  readonly coldSendInterval: number;
 }
 
-/** See the module comment. */
+/** Sends once; the record is filled in as the attempt proceeds. */
 export class ReplicaAttempt {
   readonly record: AttemptRecord;
-  private readonly abortion = new AbortController();
-  private isOver = false;
-  /** Given up because another replica has the address. */
-  private hasReplicaEnded = false;
+  private readonly abortController = new AbortController();
+  private hasEnded = false;
+  /** Set when the attempt is aborted because another replica took over the address. */
+  private wasReplicaReplaced = false;
 
   constructor(
     private readonly context: GatewayContext,
@@ -59,73 +59,82 @@
     return this.options.isTrial;
   }
 
-  /** Whether the replica may run it; before it is written to a connection an abort makes sure that none does. */
+  /**
+   * Whether the request was written to a connection; until then, an abort ensures that no replica
+   * runs it.
+   */
   get isConnected(): boolean {
     return this.record.connectedAt !== undefined;
   }
 
-  /** Sends; `onResult` is called once, later, when the replica counts it no longer. */
+  /**
+   * Sends the request; `onResult` is called once, asynchronously, after the attempt no longer
+   * counts as in flight.
+   */
   start(onResult: (result: AttemptResult) => void): void {
     const { target, isTrial, options } = this;
     const number = target.begin(this.record.sentAt);
-    target.coldSends.use(this.record.sentAt, options.coldSlotLength);
-    target.warmChecks = 0;
-    if (isTrial) target.trials += 1;
-    if (options.leavesEndedReplica) target.ending.once(this.onReplicaEnded);
-    void this.context.sender.send(options.request, target, this.sending).then((result) => {
-      target.ending.cancel(this.onReplicaEnded);
+    target.coldSendLimiter.recordSend(this.record.sentAt, options.coldSendInterval);
+    target.unusedChecks = 0;
+    if (isTrial) target.trialsInFlight += 1;
+    if (options.abortsOnReplacement) target.replacement.once(this.onReplicaReplaced);
+    void this.context.sender.send(options.request, target, this.sendOptions).then((result) => {
+      target.replacement.cancel(this.onReplicaReplaced);
       target.end(number);
-      if (isTrial) target.trials -= 1;
-      this.isOver = true;
-      onResult(this.hasReplicaEnded ? this.resultAtEnded(result) : result);
+      if (isTrial) target.trialsInFlight -= 1;
+      this.hasEnded = true;
+      onResult(this.wasReplicaReplaced ? this.resultAfterReplacement(result) : result);
     });
   }
 
-  /** Ends it at once. */
+  /** Aborts the attempt immediately. */
   abort(): void {
-    this.abortion.abort(NOT_WANTED);
+    this.abortController.abort(ABANDONED_ERROR);
   }
 
   /**
-   * Its answer is not wanted any more. Closing its connection ends an attempt at once, and costs
-   * the next request a new connection. A replica without a queue is left to answer for a moment
-   * instead.
+   * Abandons the attempt because its answer is no longer needed. An abort closes the connection, so
+   * that the next request has to open a new one. A replica without a queue is therefore left to
+   * answer for up to {@link LINGER_TIMEOUT_MS}.
    */
-  letGo(): void {
+  abandon(): void {
     const { load } = this.target;
     const hasQueue = load !== undefined && load.waiting > 0;
-    // One that is not written yet must never be: its caller may be told that it was not run.
+    // A request not yet written must never be: its caller may get the response that it was not run.
     const mayLinger = this.context.mechanisms.lingering && this.isConnected;
     if (!mayLinger || hasQueue) {
       this.abort();
       return;
     }
     const { clock } = this.context.environment;
-    clock.setTimer(LINGER_MS, () => this.abort());
+    clock.setTimer(LINGER_TIMEOUT_MS, () => this.abort());
   }
 
-  private get sending(): Sending {
+  private get sendOptions(): SendOptions {
     const { clock } = this.context.environment;
     return {
-      signal: this.abortion.signal,
-      connectWithin: this.options.connectWithin,
+      signal: this.abortController.signal,
+      connectTimeout: this.options.connectTimeout,
       onSent: () => (this.record.connectedAt = clock.now()),
     };
   }
 
-  /** Gives it up once what the replica wrote before its end is here; not where its loss was false word. */
-  private readonly onReplicaEnded = (): void => {
+  /**
+   * Aborts the attempt after a grace period for an answer that is still in transit, unless the
+   * replacement has turned out to be wrong by then.
+   */
+  private readonly onReplicaReplaced = (): void => {
     const { clock } = this.context.environment;
-    clock.setTimer(LAST_WORDS_MS, () => {
+    clock.setTimer(REPLACED_REPLICA_GRACE_MS, () => {
       const isLost = this.target.hasLostAddress(clock.now());
-      if (!isLost || this.isOver) return;
-      this.hasReplicaEnded = true;
+      if (!isLost || this.hasEnded) return;
+      this.wasReplicaReplaced = true;
       this.abort();
     });
   };
 
-  /** Of an attempt that was given up because another replica has the address. */
-  private resultAtEnded(result: AttemptResult): AttemptResult {
+  /** Result of an attempt that was aborted because another replica took over the address. */
+  private resultAfterReplacement(result: AttemptResult): AttemptResult {
     if (result.kind !== 'cancelled') return result;
     if (this.isConnected) return { kind: 'broken', reason: REPLICA_ENDED };
     return { kind: 'notRun', reason: NotRunReason.Unreachable };
--- a/src/gateway/replica-race.ts
+++ b/src/gateway/replica-race.ts
@@ -1,10 +1,10 @@
 /**
- * Gets one answer from one service: sends to its best replica, to another when
- * that fails or is late, and takes the first whole answer. A request that is not
- * repeatable is sent on only when it certainly was not run.
+ * Gets one answer from one service: sends the request to the best replica, and to others if that
+ * fails or is late, and takes the first complete answer. A request that is not repeatable is sent
+ * again only if it certainly did not run.
  */
 import { CrashGuardDecision } from '../quarantine/crash-guard.js';
-import { noteEvidence } from './attempt-evidence.js';
+import { recordCrashEvidence } from './attempt-evidence.js';
 import { observeAttempt } from './attempt-observer.js';
 import type { AttemptRecord } from './attempt-record.js';
 import type { AttemptResult } from './attempt-result.js';
@@ -21,38 +21,52 @@
 import type { RaceOutcome } from './race-outcome.js';
 import type { RouteLatency } from './route-latency.js';
 
-/** Pause before replicas that could not take it are tried again; doubled each time. Milliseconds. */
-const FIRST_RETRY_PAUSE_MS = 12;
+/**
+ * Delay before replicas that did not run the request are tried again; doubled each time, with
+ * jitter.
+ */
+const FIRST_RETRY_DELAY_MS = 12;
 
-/** What is asked, and how. */
+/** Options of a {@link ReplicaRace}. */
 export interface ReplicaRaceOptions {
   readonly service: string;
   readonly latency: RouteLatency;
-  /** Part of the request's worth that is lost when this service does not answer in time; at most 1. */
-  readonly stake: number;
-  /** The request may have been sent to the service by another gateway: the budget is asked first. */
+  /** Fraction of the request's value that is lost if this service's answer is late; at most 1. */
+  readonly valueFraction: number;
+  /**
+   * Whether another gateway may have sent the request to the service: the first attempt then needs
+   * budget as well.
+   */
   readonly isRepeat: boolean;
-  /** Until when replicas that could not take it are tried again. Clock reading. */
-  readonly retryUntil: number;
-  /** Whether an attempt is given up when another replica has the address; absent: it is not. */
-  readonly leavesEndedReplicas?: boolean;
-  /** Longest wait for a connection of a sending that begins now; absent: the client's own. Milliseconds. */
-  readonly connectWithin?: (() => number) | undefined;
-  /** Asked before a further sending beside or after one that may have run; absent: always allowed. */
+  /** Until when replicas that did not run the request are tried again. Clock reading. */
+  readonly retryDeadline: number;
+  /**
+   * Whether an attempt is aborted when another replica takes over the address; false by default.
+   */
+  readonly abortsOnReplacement?: boolean;
+  /**
+   * Returns the connect timeout of an attempt that starts now, in milliseconds; the client's own if
+   * absent.
+   */
+  readonly connectTimeout?: (() => number) | undefined;
+  /**
+   * Called before an attempt that follows one that may have run or is in flight; always allowed if
+   * absent.
+   */
   readonly maySendAgain?: (() => boolean) | undefined;
   readonly onEnd: (race: ReplicaRace) => void;
 }
 
-/** See the module comment. */
+/** Race between the replicas of one service for one request. */
 export class ReplicaRace {
   outcome: RaceOutcome | undefined;
-  /** Sendings so far, in their order. */
+  /** Attempts so far, in the order of sending. */
   readonly attempts: AttemptRecord[] = [];
-  private readonly live = new Set<ReplicaAttempt>();
+  private readonly inFlight = new Set<ReplicaAttempt>();
   private readonly candidates: ReplicaCandidates;
   private readonly tally = new AttemptTally();
   private retryTimer: Timer | undefined;
-  private pauses = 0;
+  private retryDelays = 0;
   private lastResult: AttemptResult | undefined;
 
   constructor(
@@ -63,18 +77,18 @@
     this.candidates = new ReplicaCandidates(context, request, options);
   }
 
-  /** The service that is asked. */
+  /** The service whose replicas are tried. */
   get service(): string {
     return this.options.service;
   }
 
-  /** Sends for the first time, or as soon as a replica has room. */
+  /** Starts the first attempt, or waits until a replica has capacity. */
   start(): void {
-    if (!this.options.isRepeat) this.context.shares.noteRequest(this.service);
+    if (!this.options.isRepeat) this.context.shares.recordRequest(this.service);
     this.begin();
   }
 
-  /** Ends the race before it began. */
+  /** Ends the race without an attempt; called instead of {@link ReplicaRace.start}. */
   refuse(reason: string): void {
     this.tally.reason = reason;
     this.finish(this.failure());
@@ -82,111 +96,122 @@
 
   private begin(): void {
     if (this.options.isRepeat) {
-      if (!this.launchAgain(this.context.shares)) this.finish(this.failure());
+      if (!this.startFurtherAttempt(this.context.shares)) this.finish(this.failure());
       return;
     }
-    if (this.launch()) return;
-    const mayFindRoom = this.context.mechanisms.waitForRoom && this.candidates.mayExist;
-    if (mayFindRoom) this.waitForRoom();
+    if (this.startFirstAttempt()) return;
+    const mayWait = this.context.mechanisms.waitForRoom && this.candidates.mayBecomeAvailable;
+    if (mayWait) this.waitForCapacity();
     else this.finish(this.failure());
   }
 
-  /** Sends to another replica as well, when the budget has room; true when it did. */
+  /**
+   * Starts a hedge if the route, the budget and the crash guard allow it. Returns true if it was
+   * sent, or if the race ended because the request is quarantined.
+   */
   hedge(): boolean {
     const isOver = this.outcome !== undefined || !this.context.mechanisms.hedging;
-    if (isOver || this.request.route.execution !== 'repeatable' || !this.mayRunMore) return false;
+    if (isOver || this.request.route.execution !== 'repeatable' || !this.hasAttemptsLeft)
+      return false;
     if (this.context.crashGuard.isSuspected(this.request.fingerprint)) return false;
-    return this.launchAgain(this.context.shares);
+    return this.startFurtherAttempt(this.context.shares);
   }
 
-  /** Sendings so far. */
+  /** Number of attempts so far. */
   get sends(): number {
     return this.attempts.length;
   }
 
-  /** Ends the race and every attempt that is still in flight; `reason` stands where there is none. */
+  /** Ends the race and abandons its attempts; `reason` is reported if any was in flight. */
   cancel(reason: string): void {
-    if (this.live.size > 0) this.tally.reason = reason;
+    if (this.inFlight.size > 0) this.tally.reason = reason;
     this.outcome ??= this.failure();
-    this.abortLive();
+    this.abandonInFlight();
   }
 
-  /** Whether a request that is given up now may have run, or may still run. */
+  /** Whether the request may have run, or may still run. */
   get mayRun(): boolean {
-    return this.tally.mayHaveRun || [...this.live].some(({ isConnected }) => isConnected);
+    return this.tally.mayHaveRun || [...this.inFlight].some(({ isConnected }) => isConnected);
   }
 
-  /** Whether it was written to a connection to some replica. */
-  get wasOffered(): boolean {
+  /** Whether the request was written to a connection to any replica. */
+  get wasSent(): boolean {
     return this.attempts.some(({ connectedAt }) => connectedAt !== undefined);
   }
 
-  private get mayRunMore(): boolean {
-    return this.tally.possibleRuns + this.live.size < this.request.route.maximumAttempts;
+  private get hasAttemptsLeft(): boolean {
+    return this.tally.possibleRuns + this.inFlight.size < this.request.route.maximumAttempts;
   }
 
-  private readonly onRoom = (): void => {
-    if (this.outcome === undefined && this.live.size === 0 && !this.launch()) this.waitForRoom();
+  private readonly onCapacity = (): void => {
+    if (this.outcome === undefined && this.inFlight.size === 0 && !this.startFirstAttempt())
+      this.waitForCapacity();
   };
 
-  private waitForRoom(): void {
-    this.context.targets.onceRoom(this.service, this.onRoom);
+  private waitForCapacity(): void {
+    this.context.targets.onceCapacity(this.service, this.onCapacity);
   }
 
   /**
-   * Sends to a further replica; `budget` is asked for it unless what came before never arrived.
-   * True when it was sent, waits for a trial of the request, or is refused for good.
+   * Starts an attempt at a further replica, taken from `budget` if one is passed. Returns true if
+   * it was sent, if it waits for a trial of the request, or if the race ended because the request
+   * is quarantined.
    */
-  private launchAgain(budget: FleetShares | undefined): boolean {
+  private startFurtherAttempt(budget: FleetShares | undefined): boolean {
     const target = this.candidates.choose();
-    if (target === undefined || !this.isFurtherSendAllowed) return false;
-    return this.sendAdmitted(target, budget);
+    if (target === undefined || !this.isFurtherAttemptAllowed) return false;
+    return this.sendIfAdmitted(target, budget);
   }
 
-  private get isFurtherSendAllowed(): boolean {
-    const isFirst = this.tally.possibleRuns + this.live.size === 0;
+  private get isFurtherAttemptAllowed(): boolean {
+    const isFirst = this.tally.possibleRuns + this.inFlight.size === 0;
     return isFirst || this.options.maySendAgain?.() !== false;
   }
 
-  /** For the first time; as {@link ReplicaRace.launchAgain}. */
-  private launch(): boolean {
+  /**
+   * Starts the first attempt, without budget; returns as {@link ReplicaRace.startFurtherAttempt}.
+   */
+  private startFirstAttempt(): boolean {
     const target = this.candidates.choose();
-    return target !== undefined && this.sendAdmitted(target, undefined);
+    return target !== undefined && this.sendIfAdmitted(target, undefined);
   }
 
-  private sendAdmitted(target: ReplicaTarget, budget: FleetShares | undefined): boolean {
+  private sendIfAdmitted(target: ReplicaTarget, budget: FleetShares | undefined): boolean {
     const { crashGuard } = this.context;
     const { fingerprint } = this.request;
-    const admission = crashGuard.admit(fingerprint, this.onNews);
+    const admission = crashGuard.admit(fingerprint, this.onQuarantineUpdate);
     if (admission === CrashGuardDecision.Wait) return true;
     if (admission === CrashGuardDecision.Refused) {
-      this.giveUpQuarantined();
+      this.failQuarantined();
       return true;
     }
     const isTrial = admission === CrashGuardDecision.Trial;
-    const isPaid = budget === undefined || budget.takeSecondSend(this.service);
-    if (isPaid) this.send(isTrial ? this.candidates.chooseForTrial(target) : target, isTrial);
-    else if (isTrial) crashGuard.cancelTrial(fingerprint, this.onNews);
-    return isPaid;
+    const isWithinBudget = budget === undefined || budget.takeExtraAttempt(this.service);
+    if (isWithinBudget)
+      this.send(isTrial ? this.candidates.chooseForTrial(target) : target, isTrial);
+    else if (isTrial) crashGuard.cancelTrial(fingerprint, this.onQuarantineUpdate);
+    return isWithinBudget;
   }
 
-  /** What is in flight ends at once: a replica that drops it in time does not end under it. */
-  private giveUpQuarantined(): void {
+  /**
+   * Aborts attempts immediately: a replica that drops the request in time does not crash from it.
+   */
+  private failQuarantined(): void {
     this.tally.reason = QUARANTINED;
     const outcome = this.failure();
-    for (const attempt of this.live) attempt.abort();
+    for (const attempt of this.inFlight) attempt.abort();
     this.finish(outcome);
   }
 
-  /** A trial of the request has ended, or it was cleared or quarantined. */
-  private readonly onNews = (): void => {
+  /** Called when a trial of the request has ended, or the request was cleared or quarantined. */
+  private readonly onQuarantineUpdate = (): void => {
     if (this.outcome !== undefined) return;
     const { crashGuard } = this.context;
     const { fingerprint } = this.request;
-    if (crashGuard.isQuarantined(fingerprint)) this.giveUpQuarantined();
-    else if (this.live.size > 0) crashGuard.onceChanged(fingerprint, this.onNews);
+    if (crashGuard.isQuarantined(fingerprint)) this.failQuarantined();
+    else if (this.inFlight.size > 0) crashGuard.onceChanged(fingerprint, this.onQuarantineUpdate);
     else if (this.lastResult === undefined) this.begin();
-    else this.goOn(this.lastResult);
+    else this.continueAfter(this.lastResult);
   };
 
   private send(target: ReplicaTarget, isTrial: boolean): void {
@@ -195,21 +220,21 @@
       request,
       target,
       isTrial,
-      leavesEndedReplica: options.leavesEndedReplicas === true,
-      connectWithin: options.connectWithin?.(),
-      coldSlotLength: this.context.shares.coldSlotLength(request.table, this.service),
+      abortsOnReplacement: options.abortsOnReplacement === true,
+      connectTimeout: options.connectTimeout?.(),
+      coldSendInterval: this.context.shares.coldSendInterval(request.table, this.service),
     });
     this.attempts.push(attempt.record);
-    this.candidates.noteAsked(target);
-    this.live.add(attempt);
+    this.candidates.markTried(target);
+    this.inFlight.add(attempt);
     attempt.start((result) => {
-      this.live.delete(attempt);
-      this.take(attempt, result);
-      this.context.targets.notifyRoom(this.service);
+      this.inFlight.delete(attempt);
+      this.handleResult(attempt, result);
+      this.context.targets.notifyCapacity(this.service);
     });
   }
 
-  private take(attempt: ReplicaAttempt, result: AttemptResult): void {
+  private handleResult(attempt: ReplicaAttempt, result: AttemptResult): void {
     const { target, record, isTrial } = attempt;
     this.lastResult = result;
     record.endedAt = this.context.environment.clock.now();
@@ -218,56 +243,61 @@
     if (isConnectionLost(result)) {
       this.context.decisions.logConnectionLost(this.request, this.service, record);
     }
-    // Its own result is no news to it: woken for it, it would go on before it has taken it.
-    if (isTrial) this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onNews);
-    noteEvidence(this.context, { request: this.request, target, result, isTrial });
+    // Unsubscribed first: recordCrashEvidence may end the trial, and the callback would continue
+    // the race before this result is counted.
+    if (isTrial)
+      this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onQuarantineUpdate);
+    recordCrashEvidence(this.context, { request: this.request, target, result, isTrial });
     if (result.kind === 'answered') {
       if (this.outcome === undefined) this.finish({ kind: 'answered', answer: result.answer });
       return;
     }
-    this.note(target, result);
-    if (this.outcome === undefined) this.goOn(result);
+    this.recordUnanswered(target, result);
+    if (this.outcome === undefined) this.continueAfter(result);
   }
 
-  private note(target: ReplicaTarget, result: UnansweredResult): void {
-    this.tally.note(result);
+  private recordUnanswered(target: ReplicaTarget, result: UnansweredResult): void {
+    this.tally.record(result);
     const mayRunLater = result.kind === 'notRun' && result.reason !== NotRunReason.WrongReplica;
-    if (mayRunLater) this.candidates.noteNotRun(target);
+    if (mayRunLater) this.candidates.markNotRun(target);
   }
 
-  /** After an attempt that brought no answer: another one, the wait for those in flight, or the end. */
-  private goOn(result: AttemptResult): void {
-    if (this.maySendAfter(result)) {
-      if (this.launchAgain(this.budgetAfter(result))) return;
-      if (this.live.size === 0 && this.retryLater(result)) return;
+  /** After an unsuccessful attempt: starts another, waits for those in flight, or ends the race. */
+  private continueAfter(result: AttemptResult): void {
+    if (this.mayRetryAfter(result)) {
+      if (this.startFurtherAttempt(this.budgetAfter(result))) return;
+      if (this.inFlight.size === 0 && this.scheduleRetry(result)) return;
     }
-    if (this.live.size === 0) this.finish(this.failure());
+    if (this.inFlight.size === 0) this.finish(this.failure());
   }
 
-  private maySendAfter(result: AttemptResult): boolean {
+  private mayRetryAfter(result: AttemptResult): boolean {
     if (!this.context.mechanisms.retries) return false;
     const wasNotRun = result.kind === 'notRun';
     const isRepeatable = this.request.route.execution === 'repeatable';
-    const isAllowed = wasNotRun ? this.tally.isWithinRefusals : isRepeatable;
-    return isAllowed && this.mayRunMore;
+    const isAllowed = wasNotRun ? this.tally.isWithinRefusalLimit : isRepeatable;
+    return isAllowed && this.hasAttemptsLeft;
   }
 
-  /** What never reached a replica costs the replicas nothing when it is sent again. */
+  /** A retry needs no budget if the attempt never reached a replica, as it adds no load. */
   private budgetAfter(result: AttemptResult): FleetShares | undefined {
     const neverArrived = result.kind === 'notRun' && result.reason === NotRunReason.Unreachable;
     return neverArrived ? undefined : this.context.shares;
   }
 
-  /** Tries the replicas that did not run it once more after a pause; false when it is too late. */
-  private retryLater(result: AttemptResult): boolean {
+  /**
+   * Schedules a retry at the replicas that did not run the request; false if the retry deadline
+   * would pass.
+   */
+  private scheduleRetry(result: AttemptResult): boolean {
     const { clock, random } = this.context.environment;
-    const pause = FIRST_RETRY_PAUSE_MS * 2 ** this.pauses * (0.5 + random.nextFloat());
-    if (clock.now() + pause > this.options.retryUntil) return false;
-    this.pauses += 1;
-    this.retryTimer = clock.setTimer(pause, () => {
-      if (this.outcome !== undefined || this.live.size > 0) return;
+    const delay = FIRST_RETRY_DELAY_MS * 2 ** this.retryDelays * (0.5 + random.nextFloat());
+    if (clock.now() + delay > this.options.retryDeadline) return false;
+    this.retryDelays += 1;
+    this.retryTimer = clock.setTimer(delay, () => {
+      if (this.outcome !== undefined || this.inFlight.size > 0) return;
       this.candidates.readmitNotRun();
-      this.goOn(result);
+      this.continueAfter(result);
     });
     return true;
   }
@@ -278,14 +308,14 @@
 
   private finish(outcome: RaceOutcome): void {
     this.outcome = outcome;
-    this.abortLive();
+    this.abandonInFlight();
     this.options.onEnd(this);
   }
 
-  private abortLive(): void {
-    this.context.targets.cancelRoom(this.service, this.onRoom);
-    this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onNews);
+  private abandonInFlight(): void {
+    this.context.targets.cancelCapacity(this.service, this.onCapacity);
+    this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onQuarantineUpdate);
     this.retryTimer?.cancel();
-    for (const attempt of this.live) attempt.letGo();
+    for (const attempt of this.inFlight) attempt.abandon();
   }
 }
--- /dev/null
+++ b/test/gateway/extra-attempt-budget.test.ts
@@ -0,0 +1,54 @@
+import { describe, expect, it } from 'vitest';
+import { ExtraAttemptBudget } from '../../src/gateway/extra-attempt-budget.js';
+
+const LIMITS = { ratio: 0.2, slack: 56, windowMs: 10_000 };
+const GATEWAYS = 8;
+
+/** Takes all extra attempts that are left and counts them. */
+function takeAll(budget: ExtraAttemptBudget): number {
+  let taken = 0;
+  while (budget.take()) taken += 1;
+  return taken;
+}
+
+function createFleet(): ExtraAttemptBudget[] {
+  return Array.from({ length: GATEWAYS }, () => new ExtraAttemptBudget(LIMITS, GATEWAYS, false));
+}
+
+describe('ExtraAttemptBudget', () => {
+  it('keeps a fleet within its slack, even if all gateways spend full budgets and restart', () => {
+    const before = createFleet();
+    for (const budget of before) {
+      for (let index = 0; index < 1_000; index += 1) budget.recordRequest(GATEWAYS);
+    }
+    const spent = [...before, ...createFleet()].reduce((sum, budget) => sum + takeAll(budget), 0);
+    expect(spent).toBeLessThanOrEqual(LIMITS.slack);
+  });
+
+  it('allows one extra attempt at a gateway that has just started', () => {
+    expect(takeAll(new ExtraAttemptBudget(LIMITS, GATEWAYS, false))).toBe(1);
+  });
+
+  it('starts with the full share for a new service in an old process', () => {
+    const fleet = Array.from(
+      { length: GATEWAYS },
+      () => new ExtraAttemptBudget(LIMITS, GATEWAYS, true),
+    );
+    const spent = fleet.reduce((sum, budget) => sum + takeAll(budget), 0);
+    expect(spent).toBeGreaterThan(LIMITS.slack / 2);
+    expect(spent).toBeLessThanOrEqual(LIMITS.slack);
+  });
+
+  it('allows no more than the ratio of its own requests in the long run', () => {
+    const budget = new ExtraAttemptBudget(LIMITS, GATEWAYS, false);
+    takeAll(budget);
+    let taken = 0;
+    const requests = 10_000;
+    for (let index = 0; index < requests; index += 1) {
+      budget.recordRequest(GATEWAYS);
+      if (budget.take()) taken += 1;
+    }
+    expect(taken).toBeLessThanOrEqual(requests * LIMITS.ratio);
+    expect(taken).toBeGreaterThan(requests * LIMITS.ratio * 0.8);
+  });
+});
--- a/test/gateway/service-targets.test.ts
+++ b/test/gateway/service-targets.test.ts
@@ -41,8 +41,8 @@
   return targets.of(service).map((target) => target.entry.replicaId);
 }
 
-describe('an address that another replica takes', () => {
-  it('belongs to the one that registered last, whatever is heard of the other', () => {
+describe('an address that another replica takes over', () => {
+  it('belongs to the replica that registered last, whatever is reported of the other', () => {
     const { directory, targets } = create();
     directory.report(entry('old'));
     directory.report(entry('new'));
@@ -52,18 +52,18 @@
     expect(targets.size).toBe(1);
   });
 
-  it('is given back when the replica there says that it is the other one', () => {
+  it('is given back when the replica there identifies itself as the earlier one', () => {
     const { directory, targets } = create();
     directory.report(entry('alive'));
-    directory.report(entry('late word of a dead one', { service: 'other' }));
+    directory.report(entry('outdated registration', { service: 'other' }));
     expect(idsOf(targets)).toEqual([]);
     const [dead] = targets.of('other');
     if (dead === undefined) return expect.fail('no target');
-    targets.noteReplaced(dead);
+    targets.markReplaced(dead);
     expect(idsOf(targets)).toEqual(['alive']);
   });
 
-  it('stays with the later one when the earlier one is forgotten or leaves', () => {
+  it('stays with the later replica when the earlier one leaves', () => {
     const { directory, targets } = create();
     directory.report(entry('old'));
     directory.report(entry('new'));
@@ -75,16 +75,16 @@
   });
 });
 
-describe('a replica that says that it is cold', () => {
-  it('counts as cold from its start, and again when it turns cold later', async () => {
+describe('a replica that reports a warmup time', () => {
+  it('is cold from its start, and again when it turns cold later', async () => {
     const { directory, targets, simulation, now } = create();
     const startedAt = now();
     directory.report(entry('i', { warmupMs: 2_000 }));
     const [target] = targets.of('ledger');
-    expect(target?.warmUntil).toBe(startedAt + 2_000);
+    expect(target?.coldUntil).toBe(startedAt + 2_000);
     await simulation.runFor(5_000);
     directory.report(entry('i', { sequence: 2, warmupMs: 0 }));
     directory.report(entry('i', { sequence: 3, warmupMs: 3_000 }));
-    expect(target?.warmUntil).toBe(startedAt + 8_000);
+    expect(target?.coldUntil).toBe(startedAt + 8_000);
   });
 });
--- a/test/gateway/split-chooser.test.ts
+++ b/test/gateway/split-chooser.test.ts
@@ -26,8 +26,8 @@
   );
 }
 
-/** Share of the first service among `requests` that reach gateways by chance. */
-function shareOfFirst(
+/** Fraction of `requests`, which arrive at random gateways, that the first service gets. */
+function fractionOfFirst(
   fleet: readonly SplitChooser[],
   split: readonly SplitPart[],
   requests: number,
@@ -36,7 +36,7 @@
   const arrivals = seededRandom(seed, 'arrivals');
   let first = 0;
   for (let index = 0; index < requests; index += 1) {
-    // Each version of the routes is read anew, so its splits are other objects.
+    // Each version of the route document is parsed anew, so its splits are different objects.
     const version = split.map((part) => ({ ...part }));
     const gateway = fleet[arrivals.nextInteger(0, fleet.length - 1)];
     if (gateway?.choose({ ...ROUTE }, version) === 'service-0') first += 1;
@@ -49,8 +49,13 @@
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 9 }), fc.nat(), (weight, seed) => {
         const [gateway] = createFleet(1, seed);
-        const share = shareOfFirst([gateway as SplitChooser], splitOf(weight, 10 - weight), 40, 1);
-        expect(Math.abs(share - weight / 10)).toBeLessThan(0.03);
+        const fraction = fractionOfFirst(
+          [gateway as SplitChooser],
+          splitOf(weight, 10 - weight),
+          40,
+          1,
+        );
+        expect(Math.abs(fraction - weight / 10)).toBeLessThan(0.03);
       }),
     );
   });
@@ -62,21 +67,21 @@
       fc.property(sizes, weights, fc.nat({ max: 100 }), (gateways, pair, seed) => {
         const [first = 0, second = 0] = pair;
         const fleet = createFleet(gateways, seed);
-        const share = shareOfFirst(fleet, splitOf(first, second), 300, seed);
-        expect(Math.abs(share - first / (first + second))).toBeLessThan(0.1);
+        const fraction = fractionOfFirst(fleet, splitOf(first, second), 300, seed);
+        expect(Math.abs(fraction - first / (first + second))).toBeLessThan(0.1);
       }),
       { seed: 5, numRuns: 300 },
     );
   });
 
-  it('never chooses a service without weight', () => {
+  it('never chooses a service with weight 0', () => {
     const [gateway] = createFleet(1, 3);
     for (let index = 0; index < 200; index += 1) {
       expect(gateway?.choose(ROUTE, splitOf(0, 1, 0))).toBe('service-1');
     }
   });
 
-  it('goes on where it was when a new version leaves the split alone', () => {
+  it('continues the round when a new version leaves the split unchanged', () => {
     const split = splitOf(2, 3);
     const [same, versions] = [...createFleet(1, 3), ...createFleet(1, 3)];
     for (let index = 0; index < 100; index += 1) {
