--- a/test/router/shard-execution.test.ts
+++ b/test/router/shard-execution.test.ts
@@ -22,12 +22,12 @@
 import { createLayout, createState, SERVICE } from './support/router-harness.js';
 import { VirtualClock } from './support/virtual-clock.js';
 
-const HEDGE_DELAY = 20;
+const HEDGE_DELAY_MS = 20;
 /** Node warns of more than ten listeners on one signal unless told of them. */
 const SHARDS_BEYOND_DEFAULT_LISTENERS = 12;
 
 /** One execution over fake back ends, with policies that a test writes itself. */
-class Bench {
+class ExecutionHarness {
   readonly clock = new VirtualClock();
   readonly tally = new AttemptTally();
   readonly backends: FakeBackend[] = [];
@@ -35,8 +35,8 @@
   /** Milliseconds to wait once coverage suffices. */
   furtherWait = Infinity;
   /** What the completion policy was told. Milliseconds. */
-  readonly replies: number[] = [];
-  readonly unfinished: number[] = [];
+  readonly recordedReplies: number[] = [];
+  readonly recordedUnfinished: number[] = [];
   readonly registry: ReplicaRegistry;
   private readonly router: RouterContext;
   private readonly service: ServiceRuntime;
@@ -98,56 +98,56 @@
         recordPrimary: () => undefined,
         recordLatency: () => undefined,
         recordUnfinished: () => undefined,
-        hedgeDelay: () => HEDGE_DELAY,
+        hedgeDelay: () => HEDGE_DELAY_MS,
         takeBudget: () => (this.hedgesLeft -= 1) >= 0,
       },
       completion: {
-        recordReply: (sinceAsked) => this.replies.push(sinceAsked),
-        recordUnfinished: (sinceAsked) => this.unfinished.push(sinceAsked),
+        recordReply: (sinceAsked) => this.recordedReplies.push(sinceAsked),
+        recordUnfinished: (sinceAsked) => this.recordedUnfinished.push(sinceAsked),
         furtherWait: () => this.furtherWait,
       },
     };
   }
 }
 
-function ledgerSizes(bench: Bench): number[] {
-  return bench.backends.map(({ ledger }) => ledger.length);
+function attemptCounts(harness: ExecutionHarness): number[] {
+  return harness.backends.map(({ attempts }) => attempts.length);
 }
 
-function firstBackend(bench: Bench): FakeBackend {
-  const [first] = bench.backends;
+function firstBackend(harness: ExecutionHarness): FakeBackend {
+  const [first] = harness.backends;
   if (first === undefined) throw new Error('no back end');
   return first;
 }
 
 describe('a hedge', () => {
   it('goes to a sibling after the delay; the loser is cancelled at once', async () => {
-    const bench = new Bench(2);
-    firstBackend(bench).latency = Infinity;
-    for (const backend of bench.backends.slice(2)) backend.latency = 100;
-    const { sufficient } = await bench.run();
+    const harness = new ExecutionHarness(2);
+    firstBackend(harness).latency = Infinity;
+    for (const backend of harness.backends.slice(2)) backend.latency = 100;
+    const { sufficient } = await harness.run();
     expect(sufficient).toBe(true);
-    expect(bench.tally).toMatchObject({ primary: 2, hedges: 1, retries: 0 });
-    expect(ledgerSizes(bench)).toEqual([1, 1, 1, 0]);
-    expect(bench.backends[1]?.ledger[0]?.at).toBe(50 + HEDGE_DELAY);
-    expect(firstBackend(bench).ledger[0]?.cancelledAt).toBe(50 + HEDGE_DELAY + 1);
+    expect(harness.tally).toMatchObject({ primary: 2, hedges: 1, retries: 0 });
+    expect(attemptCounts(harness)).toEqual([1, 1, 1, 0]);
+    expect(harness.backends[1]?.attempts[0]?.at).toBe(50 + HEDGE_DELAY_MS);
+    expect(firstBackend(harness).attempts[0]?.cancelledAt).toBe(50 + HEDGE_DELAY_MS + 1);
   });
 
   it('leaves the loser known to take at least as long as it was waited for', async () => {
-    const bench = new Bench(1);
-    const slow = firstBackend(bench);
+    const harness = new ExecutionHarness(1);
+    const slow = firstBackend(harness);
     slow.latency = Infinity;
-    await bench.run();
-    const record = bench.registry.get(slow.replicaId);
-    expect(record?.smoothedLatency).toBe(HEDGE_DELAY + 1);
+    await harness.run();
+    const record = harness.registry.get(slow.replicaId);
+    expect(record?.smoothedLatency).toBe(HEDGE_DELAY_MS + 1);
   });
 
   it('is not sent when the first attempt is quick, or the budget is spent', async () => {
-    const quick = new Bench(1);
-    firstBackend(quick).latency = HEDGE_DELAY - 1;
+    const quick = new ExecutionHarness(1);
+    firstBackend(quick).latency = HEDGE_DELAY_MS - 1;
     await quick.run();
     expect(quick.tally.hedges).toBe(0);
-    const poor = new Bench(1);
+    const poor = new ExecutionHarness(1);
     poor.hedgesLeft = 0;
     firstBackend(poor).latency = 100;
     await poor.run();
@@ -155,36 +155,36 @@
   });
 
   it('is never sent for a request that is not repeatable', async () => {
-    const bench = new Bench(1);
-    firstBackend(bench).latency = 100;
-    await bench.run(false);
-    expect(ledgerSizes(bench)).toEqual([1, 0]);
+    const harness = new ExecutionHarness(1);
+    firstBackend(harness).latency = 100;
+    await harness.run(false);
+    expect(attemptCounts(harness)).toEqual([1, 0]);
   });
 
   it('that fails leaves the first attempt its chance', async () => {
-    const bench = new Bench(1);
-    firstBackend(bench).latency = 100;
-    const [, second] = bench.backends;
+    const harness = new ExecutionHarness(1);
+    firstBackend(harness).latency = 100;
+    const [, second] = harness.backends;
     if (second !== undefined) second.down = true;
-    expect((await bench.run()).sufficient).toBe(true);
-    expect(bench.tally).toMatchObject({ primary: 1, hedges: 1, retries: 0 });
+    expect((await harness.run()).sufficient).toBe(true);
+    expect(harness.tally).toMatchObject({ primary: 1, hedges: 1, retries: 0 });
   });
 });
 
 describe('the completion policy', () => {
   it('ends the wait for the rest once coverage suffices', async () => {
-    const bench = new Bench(2, 0.5);
-    bench.hedgesLeft = 0;
-    bench.furtherWait = 30;
-    const { latency } = firstBackend(bench);
-    firstBackend(bench).latency = Infinity;
-    const { coverage, ending } = await bench.run();
-    expect(ending).toBe('sufficient');
-    expect(bench.clock.now()).toBe(50 + latency + bench.furtherWait);
+    const harness = new ExecutionHarness(2, 0.5);
+    harness.hedgesLeft = 0;
+    harness.furtherWait = 30;
+    const { latency } = firstBackend(harness);
+    firstBackend(harness).latency = Infinity;
+    const { coverage, endReason } = await harness.run();
+    expect(endReason).toBe('sufficient');
+    expect(harness.clock.now()).toBe(50 + latency + harness.furtherWait);
     expect(coverage.missing).toEqual([{ shardId: 'shard-0', reason: 'not_waited_for' }]);
-    expect(bench.replies).toEqual([latency]);
-    expect(bench.unfinished).toEqual([latency + bench.furtherWait]);
-    expect(firstBackend(bench).ledger[0]?.cancelled).toBe(true);
+    expect(harness.recordedReplies).toEqual([latency]);
+    expect(harness.recordedUnfinished).toEqual([latency + harness.furtherWait]);
+    expect(firstBackend(harness).attempts[0]?.cancelled).toBe(true);
   });
 });
 
@@ -193,12 +193,12 @@
     const warnings: string[] = [];
     const onWarning = ({ name }: Error): void => void warnings.push(name);
     process.on('warning', onWarning);
-    const bench = new Bench(SHARDS_BEYOND_DEFAULT_LISTENERS);
-    for (const { replicaId } of bench.backends) {
-      const record = bench.registry.get(replicaId);
+    const harness = new ExecutionHarness(SHARDS_BEYOND_DEFAULT_LISTENERS);
+    for (const { replicaId } of harness.backends) {
+      const record = harness.registry.get(replicaId);
       while (record?.hasRoom === true) record.beginAttempt();
     }
-    expect((await bench.run()).ending).toBe('deadline');
+    expect((await harness.run()).endReason).toBe('deadline');
     await new Promise((resolve) => setImmediate(resolve));
     process.off('warning', onWarning);
     expect(warnings).toEqual([]);
