--- a/src/model/backend-protocol.ts
+++ b/src/model/backend-protocol.ts
@@ -1,14 +1,14 @@
 /**
- * The HTTP exchange between routers and back ends. A request names itself in
- * headers; the reply echoes them, and is dropped unless every echo matches.
+ * The HTTP exchange between routers and back ends. A request carries its identifiers
+ * in headers and the reply echoes them; the router drops a reply unless every echo matches.
  */
 
-/** Path a router posts queries to. */
+/** Path of a back end to which routers post queries. */
 export const BACKEND_QUERY_PATH = '/query';
-/** Path of the report a router reads: see {@link BackendReport}. */
+/** Path of a back end from which routers poll its {@link BackendReport}. */
 export const BACKEND_REPORT_PATH = '/report';
 
-/** Header names, lower case. */
+/** Header names of requests and replies, lower case. */
 export const BackendHeader = {
   /** The caller's request id, made unique across callers by the router. */
   RequestId: 'x-driftway-request-id',
@@ -17,39 +17,42 @@
   ShardId: 'x-driftway-shard',
   /** `epoch.version`. */
   Snapshot: 'x-driftway-snapshot',
-  /** Time left when the request was sent. Milliseconds. */
+  /** Time left to the deadline when the attempt was sent. Milliseconds. */
   DeadlineMs: 'x-driftway-deadline-ms',
-  /** `true` or `false`. */
+  /** `true` or `false`: whether the request may safely run more than once. */
   Repeatable: 'x-driftway-repeatable',
   /** Reply only: one of {@link BackendDisposition}. */
   Disposition: 'x-driftway-disposition',
   /** Reply only: the incarnation of the back-end process. */
   Incarnation: 'x-driftway-incarnation',
-  /** Reply only: `true` once the back end is leaving. */
+  /** Reply only: `true` once the back end is draining. */
   Draining: 'x-driftway-draining',
-  /** Reply only: requests in its slots and its queue together. */
+  /** Reply only: requests running in and queued at the back end, together. */
   Load: 'x-driftway-load',
 } as const;
 
-/** What the back end did with the request. */
+/** How the back end handled the request. */
 export type BackendDisposition =
-  /** Run in full; the body is the result. */
+  /** The request ran to its end; the body is the result. */
   | 'answered'
-  /** Not begun and never will be: shed, draining, or expired before it began. */
+  /**
+   * The request did not start and never will: it was shed, the back end is draining, or
+   * the deadline passed before the start.
+   */
   | 'not_started'
-  /** Not begun: the back end does not hold the snapshot. */
+  /** The request did not start: the back end does not hold the snapshot. */
   | 'snapshot_not_held'
-  /** Begun, not finished. */
+  /** The request started and did not finish. */
   | 'failed';
 
-/** Body of the report a back end gives of itself. It may lag or be wrong. */
+/** Body of a back end's report on its own state. The report may be outdated or wrong. */
 export interface BackendReport {
   readonly replicaId: string;
-  /** Chosen at start, larger than any earlier one of the same replica. */
+  /** Chosen when the process starts, larger than any earlier incarnation of the same replica. */
   readonly incarnation: number;
   readonly draining: boolean;
-  /** Requests in its slots and its queue together. */
+  /** Requests running in its slots and waiting in its queue, together. */
   readonly load: number;
-  /** Snapshots it can answer from, as `epoch.version`. */
+  /** Snapshots that the back end can answer from, as `epoch.version`. */
   readonly snapshots: readonly string[];
 }
--- a/src/model/coverage.ts
+++ b/src/model/coverage.ts
@@ -1,6 +1,6 @@
-/** What part of a service an answer was drawn from. */
+/** Which shards of a service contributed to an answer. */
 
-/** Why a shard is not part of an answer. */
+/** Why a shard's result is missing from an answer. */
 export type MissingReason =
   | 'no_replica'
   | 'snapshot_not_held'
@@ -13,15 +13,18 @@
   | 'backend_failed'
   | 'retry_budget';
 
-/** One shard that was not reached. */
+/** One shard whose result is missing from the answer. */
 export interface MissingShard {
   readonly shardId: string;
   readonly reason: MissingReason;
 }
 
-/** Stated with every answer; `reached` and `missing` together name every shard of the layout. */
+/**
+ * Coverage of an answer. `reached` and `missing` together name every shard that the query
+ * went to: every shard of the layout, or the one that holds the query's key.
+ */
 export interface Coverage {
-  /** Least fraction of shards the answer had to reach, 0 to 1. */
+  /** Minimum fraction of shards that the answer had to reach, 0 to 1. */
   readonly required: number;
   /** Shards whose reply is merged into the answer, in layout order. */
   readonly reached: readonly string[];
--- a/src/model/query-answer.ts
+++ b/src/model/query-answer.ts
@@ -1,47 +1,47 @@
-/** What a caller gets back: an answer, or a typed refusal or failure. */
+/** Response bodies of a query: an answer, or an error with a code. */
 import type { Coverage } from './coverage.js';
 import type { Snapshot } from './snapshot.js';
 
-/** Reply of one shard, in layout order within an answer. */
+/** Result of one shard; an answer lists them in layout order. */
 export interface ShardResult {
   readonly shardId: string;
   /** The back end's reply body, parsed. */
   readonly result: unknown;
 }
 
-/** Attempts a request cost. */
+/** Number of attempts that a query sent to replicas, by kind. */
 export interface AttemptCounts {
-  /** First attempts, one a shard. */
+  /** First attempts, one for each shard in each execution of the query. */
   readonly primary: number;
   readonly hedges: number;
   readonly retries: number;
 }
 
-/** HTTP 200. */
+/** Body of a successful response, HTTP 200. */
 export interface QueryAnswer {
   readonly requestId: string;
   readonly service: string;
   readonly snapshot: Snapshot;
   readonly coverage: Coverage;
-  /** Revision of the settings the plan was made under. */
+  /** Revision of the settings under which the query was planned. */
   readonly settingsRevision: number;
-  /** Present when no source could prove that this revision is still the newest. */
+  /** Present when no configuration source could confirm that this revision is the latest. */
   readonly settingsStale?: true;
   readonly attempts: AttemptCounts;
   readonly results: readonly ShardResult[];
 }
 
-/** How a query that brought no answer ended. */
+/** Why a query ended without an answer. */
 export type QueryErrorCode =
-  /** The request itself is wrong; nothing was run. HTTP 400, 404, 405, 408, 413, 431. */
+  /** The request is invalid; nothing ran. HTTP 400, 404, 405, 408, 413, 431. */
   | 'bad_request'
-  /** Nothing of it was run anywhere. HTTP 429 or 503. */
+  /** No back end started the request. HTTP 429 or 503. */
   | 'refused_not_run'
-  /** Too few shards answered; a repeatable request may be sent again. HTTP 503. */
+  /** Too few shards answered; a repeatable request may be retried. HTTP 503. */
   | 'insufficient_coverage'
-  /** It was run and failed, or may have been; a repeatable request may be sent again. HTTP 502 or 504. */
+  /** The request ran, or may have run, and failed; a repeatable one may be retried. HTTP 502 or 504. */
   | 'failed'
-  /** A not repeatable request that may have been run; its outcome is not known. HTTP 504. */
+  /** A request that is not repeatable may have run; its outcome is unknown. HTTP 504. */
   | 'outcome_unknown';
 
 /** Body of every response that is not an answer. */
@@ -51,13 +51,13 @@
     readonly message: string;
     readonly requestId?: string;
     readonly service?: string;
-    /** Whether any back end may have begun to run the request. */
+    /** Whether any back end may have started the request. */
     readonly mayHaveRun: boolean;
-    /** When to come back; also sent as `retry-after` in whole seconds. Milliseconds. */
+    /** Time after which to retry; also sent as `retry-after` in whole seconds. Milliseconds. */
     readonly retryAfterMs?: number;
-    /** The field that is wrong, for `bad_request`. */
+    /** Path of the invalid field, for `bad_request`. */
     readonly path?: string;
-    /** With `insufficient_coverage`. */
+    /** Coverage reached when the query ended; absent when it was refused before its execution. */
     readonly coverage?: Coverage;
     readonly settingsRevision?: number;
   };
--- a/src/model/replica-sign.ts
+++ b/src/model/replica-sign.ts
@@ -1,26 +1,26 @@
-/** What is known of a replica's life, whoever saw it. */
+/** Observed state of a replica, reported by a daemon or by the platform. */
 
-/** Later states replace earlier ones within an incarnation, never the other way round. */
+/** State of a replica; within one incarnation it only ever moves forward in this order. */
 export type ReplicaState = 'live' | 'draining' | 'gone';
 
-/** Rank of a state within one incarnation. */
+/** Position of a state in the order in which one incarnation passes through the states. */
 export const REPLICA_STATE_ORDER: Readonly<Record<ReplicaState, number>> = {
   live: 0,
   draining: 1,
   gone: 2,
 };
 
-/** One sign of life, leaving or loss. */
+/** One observation that a replica is live, draining or gone. Messages call it a sign. */
 export interface ReplicaSign {
   readonly replicaId: string;
-  /** Of the back-end process. A larger one replaces everything known of smaller ones. */
+  /** Incarnation of the back-end process. A larger one supersedes all signs of smaller ones. */
   readonly incarnation: number;
   readonly state: ReplicaState;
-  /** Name of the daemon, or `platform`. */
+  /** Name of the daemon that observed the state, or `platform`. */
   readonly observedBy: string;
 }
 
-/** Whether `candidate` tells something newer than `known` about the same replica. */
+/** Whether `candidate` is newer than `known`; both are signs of the same replica. */
 export function supersedes(candidate: ReplicaSign, known: ReplicaSign): boolean {
   if (candidate.incarnation !== known.incarnation) {
     return candidate.incarnation > known.incarnation;
--- a/src/model/service-definition.ts
+++ b/src/model/service-definition.ts
@@ -1,7 +1,7 @@
-/** What the control plane knows of a service: its kind, its layouts and its replicas. */
+/** Schemas of a service in the configuration: its kind, its layouts and its replicas. */
 import * as z from 'zod';
 
-/** Names of services, zones, regions, shards and replicas. */
+/** Name of a service, zone, region, shard or replica. */
 export const nameSchema = z
   .string()
   .regex(
@@ -12,12 +12,12 @@
 /** One back-end process that holds one shard (or, for a single-server service, everything). */
 export const replicaSchema = z.strictObject({
   replicaId: nameSchema,
-  /** `host:port` of its HTTP endpoint. */
+  /** `IP:port` of the back end's HTTP endpoint. */
   address: z.string().regex(/^[0-9a-fA-F.:[\]]+:\d{1,5}$/, 'write IP:port, such as 127.0.0.1:7500'),
   zone: nameSchema,
-  /** Requests it works on at once. */
+  /** Requests that the replica runs concurrently. */
   slots: z.int().min(1).max(10_000),
-  /** Connections it accepts from all routers together. */
+  /** Connections that the replica accepts from all routers together. */
   connections: z.int().min(1).max(100_000),
 });
 export type ReplicaDefinition = z.infer<typeof replicaSchema>;
@@ -29,7 +29,7 @@
 });
 export type ShardDefinition = z.infer<typeof shardSchema>;
 
-/** A partition of the keys: shard i of n holds the i-th of n equal ranges of the key hash. */
+/** A partition of the keys: shard i of n holds the i-th of n equal ranges of the keys' hash. */
 export const layoutSchema = z.strictObject({
   layoutEpoch: z.int().min(1),
   shards: z.array(shardSchema).min(1).max(4_096),
@@ -45,7 +45,7 @@
   name: nameSchema,
   kind: serviceKindSchema,
   region: nameSchema,
-  /** Layouts still queried, oldest first; a repartition adds one and later drops the oldest. */
+  /** Layouts in use, oldest first; a repartition adds one and later removes the oldest. */
   layouts: z.array(layoutSchema).min(1).max(4),
 });
 export type ServiceDefinition = z.infer<typeof serviceSchema>;
--- a/src/model/snapshot.ts
+++ b/src/model/snapshot.ts
@@ -1,10 +1,10 @@
-/** The one state of a service's data that an answer is drawn from. */
+/** A consistent state of a service's data; every answer comes from one snapshot. */
 
 /** A shard layout together with an index version. */
 export interface Snapshot {
-  /** Which partition of the data into shards; grows with every repartition. */
+  /** Identifies the partition of the data into shards; increases with every repartition. */
   readonly layoutEpoch: number;
-  /** Which published version of the index; grows with every publish. */
+  /** Identifies the published version of the index; increases with every publish. */
   readonly indexVersion: number;
 }
 
@@ -17,12 +17,12 @@
   return left.layoutEpoch - right.layoutEpoch || left.indexVersion - right.indexVersion;
 }
 
-/** `epoch.version`, the form used in headers and logs. */
+/** Formats a snapshot as `epoch.version`, the form used in headers and logs. */
 export function formatSnapshot(snapshot: Snapshot): string {
   return `${snapshot.layoutEpoch}.${snapshot.indexVersion}`;
 }
 
-/** Reads what {@link formatSnapshot} writes; undefined when it is anything else. */
+/** Parses the output of {@link formatSnapshot}; undefined for any other text. */
 export function parseSnapshot(text: string): Snapshot | undefined {
   const match = /^(\d{1,15})\.(\d{1,15})$/.exec(text);
   if (match === null) return undefined;
--- a/src/router/answer-reserve.ts
+++ b/src/router/answer-reserve.ts
@@ -1,11 +1,10 @@
-/** Time kept back from a deadline so that the answer still reaches the caller. */
+/** Reserves part of a deadline for sending the answer, so that it reaches the caller in time. */
 
-/** Milliseconds. */
 const MAXIMUM_ANSWER_RESERVE_MS = 5;
-/** Most of a short deadline that is kept back. */
+/** Upper bound of the reserve for short deadlines, as a fraction of the deadline. */
 const ANSWER_RESERVE_FRACTION = 0.1;
 
-/** What is left of a deadline for the work. Milliseconds. */
+/** Time of a deadline that remains for executing the query. Milliseconds. */
 export function subtractAnswerReserve(deadlineMs: number): number {
   return deadlineMs - Math.min(MAXIMUM_ANSWER_RESERVE_MS, deadlineMs * ANSWER_RESERVE_FRACTION);
 }
--- a/src/router/answer-serializer.ts
+++ b/src/router/answer-serializer.ts
@@ -1,8 +1,8 @@
-/** Writes the merged answer as JSON, without parsing and writing the shards' results anew. */
+/** Serializes a merged answer, embedding the shards' results as the JSON text they arrived as. */
 import type { QueryAnswer } from '../model/query-answer.js';
 import type { ReachedShard } from './execution-result.js';
 
-/** The JSON text of a {@link QueryAnswer}. */
+/** JSON text of the {@link QueryAnswer} with the fields of `head` and the results of the shards. */
 export function serializeAnswer(
   head: Omit<QueryAnswer, 'results'>,
   results: readonly ReachedShard[],
--- a/src/router/attempt-outcome.ts
+++ b/src/router/attempt-outcome.ts
@@ -1,23 +1,23 @@
-/** How one attempt at one replica ended. */
+/** Outcome of one attempt at one replica. */
 import type { MissingReason } from '../model/coverage.js';
 
 /** Why an attempt was made. */
 export type AttemptKind = 'primary' | 'hedge' | 'retry';
 
-/** The replica's reply was verified and is whole. */
+/** The replica's reply is complete and was verified. */
 export interface AnsweredAttempt {
   readonly kind: 'answered';
-  /** JSON text of the result, checked to be JSON. */
+  /** Valid JSON text of the result. */
   readonly resultText: string;
-  /** Size of the reply's body. */
+  /** Size of the reply's body. Bytes. */
   readonly bytes: number;
 }
 
-/** Nothing of it may be used. */
+/** The attempt brought no usable result. */
 export interface FailedAttemptOutcome {
   readonly kind: 'failed';
   readonly reason: MissingReason;
-  /** False only when it is certain that the replica never began to run it. */
+  /** False only when it is certain that the replica never started the request. */
   readonly mayHaveRun: boolean;
 }
 
--- a/src/router/attempt-tally.ts
+++ b/src/router/attempt-tally.ts
@@ -1,8 +1,8 @@
-/** Counts the attempts of one query, over all its tries. */
+/** Counts the attempts of one query over all its executions. */
 import type { AttemptCounts } from '../model/query-answer.js';
 import type { AttemptKind } from './attempt-outcome.js';
 
-/** Mutable {@link AttemptCounts}. */
+/** {@link AttemptCounts} that increase while the query runs. */
 export class AttemptTally implements AttemptCounts {
   primary = 0;
   hedges = 0;
--- a/src/router/backend-attempt.ts
+++ b/src/router/backend-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One request to one replica. Whatever comes back is verified before anything
- * of it is used; a reply that is not this attempt's own is counted and dropped.
+ * Sends one attempt to one replica. The reply is verified before any part of it is
+ * used; a reply that does not belong to this attempt is counted and dropped.
  */
 import { HttpClientError } from '../errors/http-client-error.js';
 import type { ReplicaRecord } from '../membership/replica-record.js';
@@ -18,7 +18,7 @@
 import type { ReplyMemoryBudget } from './reply-memory-budget.js';
 import type { RouterContext } from './router-context.js';
 
-/** Where the attempt goes. */
+/** Replica, shard and snapshot that an attempt is for. */
 export interface AttemptTarget {
   readonly record: ReplicaRecord;
   readonly shardId: string;
@@ -26,7 +26,7 @@
   readonly snapshot: string;
 }
 
-/** One attempt. */
+/** One attempt; {@link BackendAttempt.run} may be called once. */
 export class BackendAttempt {
   private readonly identity: AttemptIdentity;
   private mismatch: DroppedReplyReason | undefined;
@@ -47,7 +47,7 @@
     };
   }
 
-  /** Sends it and judges what comes back. Never throws; aborting `signal` cancels it. */
+  /** Sends the attempt and classifies the reply. Never throws; aborting `signal` cancels it. */
   async run(signal: AbortSignal): Promise<AttemptOutcome> {
     const { record } = this.target;
     record.beginAttempt();
@@ -100,7 +100,7 @@
     return this.replyMemory.reserve(bytes);
   }
 
-  /** Asked when the header is there, so that an untrustworthy connection is closed at once. */
+  /** Called as soon as the headers have arrived, so that a mismatch closes the connection at once. */
   private verifyHeaders(headers: HttpHeaders): boolean {
     const { skipReplyMatching } = this.router.faults;
     this.mismatch = skipReplyMatching ? undefined : findMismatch(this.identity, headers);
@@ -160,14 +160,14 @@
     this.query.service.policies.outliers.recordFailure(record.process);
   }
 
-  /** Cancelled: that there was no reply for so long is all that can be learned from it. */
+  /** Records the elapsed time of a cancelled attempt: a lower bound of the replica's latency. */
   private recordCancellation(elapsed: number, requestSent: boolean): AttemptOutcome {
     this.target.record.recordUnfinished(elapsed);
     this.query.service.policies.hedge.recordUnfinished(this.target.shardId, elapsed);
     return failedAttempt('not_waited_for', requestSent);
   }
 
-  /** The request was sent and its reply is lost, so it may have been run. */
+  /** Counts a reply that cannot be used. The request was sent, so it may have run. */
   private dropReply(reason: DroppedReplyReason): AttemptOutcome {
     this.router.metrics.droppedReplies.inc({ reason });
     this.recordFailure();
@@ -175,7 +175,7 @@
   }
 }
 
-/** The body as text when it is JSON in UTF-8, else undefined. */
+/** The body as text when it is valid JSON in UTF-8, else undefined. */
 function parseJsonText(body: Uint8Array): string | undefined {
   try {
     const text = new TextDecoder('utf-8', { fatal: true }).decode(body);
--- a/src/router/clock-scheduler.ts
+++ b/src/router/clock-scheduler.ts
@@ -1,9 +1,9 @@
-/** A scheduler for `@most/core` streams that takes its time from the Clock seam. */
+/** A scheduler for `@most/core` streams driven by a {@link Clock}. */
 import { newScheduler, newTimeline } from '@most/scheduler';
 import type { Scheduler } from '@most/types';
 import type { Clock, Timer } from '../seams/clock.js';
 
-/** Streams run on it take part in virtual time. */
+/** Creates a scheduler whose streams follow `clock`, including the virtual time of tests. */
 export function createClockScheduler(clock: Clock): Scheduler {
   return newScheduler(
     {
--- a/src/router/compute-coverage.ts
+++ b/src/router/compute-coverage.ts
@@ -1,14 +1,14 @@
-/** States which shards an answer was drawn from, and why the others are missing. */
+/** Computes which shards an answer covers, and why the others are missing. */
 import type { Coverage, MissingReason } from '../model/coverage.js';
 
-/** One shard at the end of a try. */
+/** One shard at the end of an execution. */
 export interface ShardCoverage {
   readonly shardId: string;
-  /** Undefined when its reply is merged into the answer. */
+  /** Why the shard is missing; undefined when its reply is merged into the answer. */
   readonly missing: MissingReason | undefined;
 }
 
-/** The statement over all shards that were asked, in layout order. */
+/** Coverage of an answer; `shards` are all shards of the plan, in layout order. */
 export function computeCoverage(shards: readonly ShardCoverage[], required: number): Coverage {
   const reached: string[] = [];
   const missing: { shardId: string; reason: MissingReason }[] = [];
--- a/src/router/execution-context.ts
+++ b/src/router/execution-context.ts
@@ -1,14 +1,14 @@
-/** What the shards of one try of a query share; a second try has its own. */
+/** State shared by the shards of one execution; a second execution of the query has its own. */
 import type { AttemptTally } from './attempt-tally.js';
 import type { QueryPlan } from './query-plan.js';
 import type { ReplyMemoryBudget } from './reply-memory-budget.js';
 
-/** One try. */
+/** Plan, attempt counts, memory budget and end signal of one execution. */
 export interface ExecutionContext {
   readonly plan: QueryPlan;
-  /** Over all tries of the query. */
+  /** Counts the attempts over all executions of the query. */
   readonly tally: AttemptTally;
   readonly replyMemory: ReplyMemoryBudget;
-  /** Aborts when the try has ended. */
+  /** Aborts when the execution ends. */
   readonly endSignal: AbortSignal;
 }
--- a/src/router/execution-result.ts
+++ b/src/router/execution-result.ts
@@ -1,14 +1,14 @@
-/** What one try of a query came to. */
+/** Result of one execution of a query plan. */
 import type { Coverage } from '../model/coverage.js';
 import type { QueryPlan } from './query-plan.js';
 
-/** Why the try ended. */
+/** Why an execution ended. */
 export type ExecutionEndReason =
-  /** Every shard's part has ended. */
+  /** Every shard has answered or failed. */
   | 'complete'
-  /** Enough shards replied and the completion policy waits no longer. */
+  /** Enough shards answered, and the completion policy stopped waiting for the rest. */
   | 'sufficient'
-  /** Too many shards failed for the required coverage. */
+  /** Too many shards failed to reach the required coverage. */
   | 'unreachable'
   | 'deadline'
   | 'cancelled'
@@ -22,17 +22,20 @@
   readonly resultText: string;
 }
 
-/** One try, ended. */
+/** Result of an execution that has ended. */
 export interface ExecutionResult {
   readonly plan: QueryPlan;
   readonly endReason: ExecutionEndReason;
-  /** Whether the answer may be given. */
+  /** Whether the results reach the required coverage and may be returned as an answer. */
   readonly sufficient: boolean;
   readonly coverage: Coverage;
-  /** In layout order. */
+  /** Results of the shards that answered, in layout order; empty unless `sufficient`. */
   readonly results: readonly ReachedShard[];
-  /** Whether any back end may have begun to run the request in this try. */
+  /** Whether any back end may have started the request in this execution. */
   readonly mayHaveRun: boolean;
-  /** Whether a missing shard could be reached on another snapshot. */
+  /**
+   * Whether a missing shard has a replica that may receive attempts and does not hold the
+   * snapshot, so that a plan on another snapshot could reach the shard.
+   */
   readonly hasReplicaWithoutSnapshot: boolean;
 }
--- a/src/router/http-responses.ts
+++ b/src/router/http-responses.ts
@@ -1,16 +1,16 @@
-/** HTTP responses of the router's listener. */
+/** Builds the HTTP responses of the router's listener. */
 import type { HttpResponse } from '../seams/http.js';
 import { badRequest, type QueryError } from './query-error.js';
 
 const JSON_TYPE = { 'content-type': 'application/json' };
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** An answer whose JSON text is already written. */
+/** Response to an answered query; `text` is the JSON of the answer. */
 export function answerResponse(text: string): HttpResponse {
   return { status: 200, headers: JSON_TYPE, body: text };
 }
 
-/** A query's typed error, with `retry-after` in whole seconds where it makes sense. */
+/** Response for a query error, with `retry-after` in whole seconds when the error has a retry time. */
 export function errorResponse(error: QueryError): HttpResponse {
   const { retryAfterMs } = error.details;
   const headers: Record<string, string> = { ...JSON_TYPE };
@@ -20,23 +20,25 @@
   return { status: error.status, headers, body: JSON.stringify(error.toBody()) };
 }
 
-/** The path is none of the router's. */
+/** Response to a request for a path that the router does not serve. */
 export function pathNotFound(): HttpResponse {
-  return errorResponse(badRequest('there is no such path', undefined, 404));
+  return errorResponse(badRequest('the path does not exist', undefined, 404));
 }
 
-/** The path takes queries, which are posted. */
+/** Response to a request for a query path with a method other than POST. */
 export function methodNotAllowed(): HttpResponse {
-  const { headers, ...response } = errorResponse(badRequest('use POST', undefined, 405));
+  const { headers, ...response } = errorResponse(
+    badRequest('the method is not allowed: use POST', undefined, 405),
+  );
   return { ...response, headers: { ...headers, allow: 'POST' } };
 }
 
-/** Plain text, for probes. */
+/** Plain text response, for probes and metrics. */
 export function textResponse(status: number, body: string, type = 'text/plain'): HttpResponse {
   return { status, headers: { 'content-type': type }, body };
 }
 
-/** `response` that also asks the caller to use another connection next time. */
+/** Adds `connection: close`, so that the caller sends its next request on another connection. */
 export function withConnectionClose(response: HttpResponse): HttpResponse {
   return { ...response, headers: { ...response.headers, connection: 'close' } };
 }
--- a/src/router/identifier-sequence.ts
+++ b/src/router/identifier-sequence.ts
@@ -1,9 +1,9 @@
-/** Identifiers that no other router, and no other run of this one, gives out. */
+/** Generates identifiers that are unique across routers and across incarnations of one router. */
 import type { RandomSource } from '../seams/random-source.js';
 
 const INCARNATION_IDENTIFIER_BYTES = 6;
 
-/** Counts within one run of one router. */
+/** Sequence of identifiers of one incarnation of one router. */
 export class IdentifierSequence {
   private readonly prefix: string;
   private count = 0;
@@ -12,13 +12,13 @@
     this.prefix = `${routerName}.${random.nextIdentifier(INCARNATION_IDENTIFIER_BYTES)}`;
   }
 
-  /** `router.run.number`. */
+  /** A new identifier, `router.incarnation.number`; the number is in base 36. */
   next(): string {
     this.count += 1;
     return `${this.prefix}.${this.count.toString(36)}`;
   }
 
-  /** The caller's identifier, made unique: `caller's~router.run.number`. */
+  /** Appends a new identifier to the caller's: `requestId~router.incarnation.number`. */
   makeUnique(requestId: string): string {
     return `${requestId}~${this.next()}`;
   }
--- a/src/router/in-flight-queries.ts
+++ b/src/router/in-flight-queries.ts
@@ -1,6 +1,6 @@
-/** The queries a router works on, for the planned stop. */
+/** Tracks the queries in flight, so that a planned stop can wait for them or cancel them. */
 
-/** Counts queries and lets the stop wait for the last one. */
+/** Set of the queries that one router is executing. */
 export class InFlightQueries {
   private readonly controllers = new Set<AbortController>();
   private drainCallbacks: (() => void)[] = [];
@@ -9,7 +9,7 @@
     return this.controllers.size;
   }
 
-  /** Runs `work`, handing it a signal that aborts with `callerGone` or {@link cancelAll}. */
+  /** Runs `execute` with a signal that aborts with `callerSignal` or on {@link cancelAll}. */
   async track<T>(
     callerSignal: AbortSignal | undefined,
     execute: (signal: AbortSignal) => Promise<T>,
@@ -29,7 +29,7 @@
   }
 
   /** Resolves once no query is in flight. */
-  waitUntilDrained(): Promise<void> {
+  whenDrained(): Promise<void> {
     if (this.controllers.size === 0) return Promise.resolve();
     return new Promise((resolve) => this.drainCallbacks.push(resolve));
   }
--- a/src/router/outcome-store.ts
+++ b/src/router/outcome-store.ts
@@ -1,7 +1,7 @@
 /**
- * Outcomes of not repeatable requests, so that a resend is given the outcome of
- * the first request and not run again. What is promised, and for how long, is
- * in docs/design/at-most-once.md.
+ * Stores the outcomes of requests that are not repeatable, so that a resend gets the
+ * outcome of the first request instead of running again. The guarantee and its duration
+ * are in docs/design/at-most-once.md.
  */
 import { xxh3 } from '@node-rs/xxhash';
 import type { Clock } from '../seams/clock.js';
@@ -9,43 +9,43 @@
 import { badRequest, QueryError, refusedNotRun } from './query-error.js';
 import type { ParsedQuery } from './query-parser.js';
 
-/** A request id is remembered at least this long after its receipt. Milliseconds. */
+/** Minimum time for which a request id is retained after its receipt. Milliseconds. */
 export const REQUEST_ID_RETENTION_MS = 3_600_000;
-/** Ids remembered for each outcome kept whole; an id alone takes about 200 bytes. */
+/** Request ids retained for each complete outcome; an id without its outcome takes about 200 bytes. */
 export const REQUEST_IDS_PER_OUTCOME = 10;
-/** Bodies of all outcomes kept together. Bytes. */
+/** Upper bound of the bodies of all stored outcomes together. Bytes. */
 export const MAXIMUM_OUTCOME_BYTES = 268_435_456;
 
-/** Bounds of one ledger. */
+/** Limits of one store. */
 export interface OutcomeStoreLimits {
-  /** Outcomes kept whole. */
+  /** Number of complete outcomes. */
   readonly outcomes: number;
-  /** Request ids remembered, with or without their outcome. */
+  /** Number of request ids, with or without their outcome. */
   readonly requestIds: number;
-  /** Bytes. */
+  /** Size of the bodies of all complete outcomes together. Bytes. */
   readonly bytes: number;
 }
 
 interface OutcomeEntry {
   readonly fingerprint: bigint;
   readonly receivedAt: number;
-  /** Undefined once evicted: the id is known, its outcome no longer. */
+  /** Undefined once evicted: the request id is still known, its outcome is not. */
   outcome: Promise<FinishedQuery> | undefined;
-  /** Size of the finished outcome's body; undefined while it runs. */
+  /** Size of the outcome's body; undefined while the request runs. */
   bytes: number | undefined;
 }
 
-/** What of a request has to be the same in a resend; its deadline may differ. */
+/** Hash of the fields that a resend must share with the first request; the deadline may differ. */
 function fingerprintOf({ request, queryText }: ParsedQuery): bigint {
   const { team, key = null, requiredCoverage = null } = request;
   return xxh3.xxh128(JSON.stringify([team, key, requiredCoverage, queryText]));
 }
 
-/** The ledger of one run of one router. */
+/** Outcomes known to one incarnation of one router; a restart loses them. */
 export class OutcomeStore {
   /** In order of receipt. */
   private readonly entries = new Map<string, OutcomeEntry>();
-  /** Keys of finished outcomes that are kept whole, in order of finishing. */
+  /** Keys of complete outcomes, in order of completion. */
   private readonly storedKeys = new Set<string>();
   private storedBytes = 0;
 
@@ -55,29 +55,32 @@
   ) {}
 
   /**
-   * The outcome of an earlier request with the same id, or undefined when there
-   * is none. Also to be asked of repeatable requests, whose id may be in use.
+   * The outcome of an earlier request with the same id, or undefined when there is
+   * none. Must also be called for repeatable requests, since their id may be in use.
    *
-   * @throws QueryError of code `bad_request` when the id belongs to a different
-   *   request, and `outcome_unknown` when the outcome is no longer kept.
+   * @throws QueryError with code `bad_request` when the id belongs to a different
+   *   request, and `outcome_unknown` when the outcome is no longer stored.
    */
   find(service: string, query: ParsedQuery): Promise<FinishedQuery> | undefined {
     this.removeExpired();
     const entry = this.entries.get(keyOf(service, query));
     if (entry === undefined) return undefined;
     if (query.request.repeatable || entry.fingerprint !== fingerprintOf(query)) {
-      throw badRequest('another request with this id was received before', 'requestId');
+      throw badRequest(
+        'a different request with the same requestId was received before',
+        'requestId',
+      );
     }
     if (entry.outcome !== undefined) return entry.outcome;
-    const message = 'this request was received before and its outcome is no longer kept';
+    const message = 'the request was received before, and its outcome is no longer stored';
     throw new QueryError('outcome_unknown', 504, message, true, {}, { step: 'find outcome' });
   }
 
   /**
-   * Runs a request that {@link find} did not know, and keeps its outcome.
-   * A refusal that says "not run" is not kept: the request may be sent again.
+   * Runs a request for which {@link find} returned undefined, and stores its outcome.
+   * An outcome that no back end may have run is not stored: the request may be sent again.
    *
-   * @throws QueryError of code `refused_not_run` when no further id can be remembered.
+   * @throws QueryError with code `refused_not_run` when the limit of request ids is reached.
    */
   async run(
     service: string,
@@ -133,7 +136,10 @@
     const [oldest] = this.entries.values();
     if (this.entries.size < this.limits.requestIds || oldest === undefined) return;
     const retryAfter = Math.max(1, oldest.receivedAt + REQUEST_ID_RETENTION_MS - this.clock.now());
-    throw refusedNotRun('no further not repeatable request can be remembered', retryAfter);
+    throw refusedNotRun(
+      'the router cannot store the id of another request that is not repeatable',
+      retryAfter,
+    );
   }
 }
 
--- a/src/router/plan-cache.ts
+++ b/src/router/plan-cache.ts
@@ -1,10 +1,10 @@
-/** Remembers plans for as long as what may be sent where does not change. */
+/** Caches query plans until the set of replicas or the snapshots that they hold change. */
 import type { QueryPlan } from './query-plan.js';
 
-/** Callers choose the coverage they ask for, so the number of different ones is bounded here. */
+/** Callers choose the required coverage, so the number of cached plans needs a bound. */
 const MAXIMUM_PLANS = 64;
 
-/** Plans by required coverage; undefined where no snapshot suffices. */
+/** Plans keyed by required coverage; a cached undefined says that no snapshot reaches it. */
 export class PlanCache {
   private generation = -1;
   private readonly plans = new Map<number, QueryPlan | undefined>();
@@ -13,7 +13,7 @@
     return this.plans.size;
   }
 
-  /** The plan for `requiredCoverage`, chosen anew when `generation` has moved on. */
+  /** The plan for `requiredCoverage`; calls `choose` for the first request of each `generation`. */
   get(
     generation: number,
     requiredCoverage: number,
--- a/src/router/query-context.ts
+++ b/src/router/query-context.ts
@@ -1,18 +1,18 @@
-/** What is fixed for the whole life of one query. */
+/** The state of one query that stays fixed from its receipt to its end. */
 import type { ParsedQuery } from './query-parser.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
-/** Pinned when the query was received. */
+/** A parsed query with the service, coverage and deadline that apply to it. */
 export interface QueryContext extends ParsedQuery {
   readonly service: ServiceRuntime;
-  /** Whether no source could prove the service's settings the newest when the query came. */
+  /** Whether, at receipt, no configuration source could confirm that the settings are the latest. */
   readonly settingsStale: boolean;
-  /** The request id as back ends see it. */
+  /** The request id that is sent to back ends, unique across callers. */
   readonly backendRequestId: string;
-  /** Stricter of the request's and the service's, 0 to 1. */
+  /** The larger of the request's and the service's required coverage, 0 to 1. */
   readonly requiredCoverage: number;
-  /** On the monotonic clock. Milliseconds. */
+  /** Time of receipt on the monotonic clock. Milliseconds. */
   readonly receivedAt: number;
-  /** On the monotonic clock. Milliseconds. */
+  /** End of the execution on the monotonic clock, with the answer's reserve subtracted. Milliseconds. */
   readonly deadlineAt: number;
 }
--- a/src/router/query-endpoint.ts
+++ b/src/router/query-endpoint.ts
@@ -24,7 +24,7 @@
   readonly router: RouterContext;
   readonly directory: ServiceDirectory;
   readonly readiness: RouterReadiness;
-  readonly outcomes: OutcomeStore;
+  readonly outcomeStore: OutcomeStore;
   readonly inFlight: InFlightQueries;
   readonly logger: Logger;
 }
@@ -34,7 +34,7 @@
   private readonly resends: ResendResolver;
 
   constructor(private readonly options: QueryEndpointOptions) {
-    this.resends = new ResendResolver(options.outcomes, options.router.environment.clock);
+    this.resends = new ResendResolver(options.outcomeStore, options.router.environment.clock);
   }
 
   /** Turns a query's HTTP request into its HTTP response. Never throws. */
@@ -62,10 +62,10 @@
     try {
       const parsedQuery = parseQueryRequest(http.body);
       details = { ...details, requestId: parsedQuery.request.requestId };
-      const earlier = this.resends.find(serviceName, parsedQuery);
-      if (earlier !== undefined) {
+      const earlierOutcome = this.resends.find(serviceName, parsedQuery);
+      if (earlierOutcome !== undefined) {
         this.options.router.metrics.joinedResends.inc();
-        return await earlier;
+        return await earlierOutcome;
       }
       const service = this.findService(serviceName);
       const query = this.createContext(service, parsedQuery, receivedAt);
@@ -84,7 +84,7 @@
       router.metrics.refusals.inc({ reason });
       throw notReadyError(reason);
     }
-    if (service === undefined) throw badRequest('there is no such service', 'service', 404);
+    if (service === undefined) throw badRequest('the service does not exist', 'service', 404);
     return service;
   }
 
@@ -116,12 +116,12 @@
    * disconnects, so that a resend gets its outcome.
    */
   private run(query: QueryContext, callerSignal: AbortSignal): Promise<FinishedQuery> {
-    const { inFlight, outcomes } = this.options;
+    const { inFlight, outcomeStore } = this.options;
     const { request, service } = query;
     if (request.repeatable) {
       return inFlight.track(callerSignal, (signal) => this.execute(query, signal));
     }
-    return outcomes.run(service.definition.name, query, () =>
+    return outcomeStore.run(service.definition.name, query, () =>
       inFlight.track(undefined, (signal) => this.execute(query, signal)),
     );
   }
@@ -151,6 +151,13 @@
   private createUnexpectedError(error: unknown): QueryError {
     const reason = error instanceof Error ? error.message : String(error);
     this.options.logger.error('query failed unexpectedly', { reason });
-    return new QueryError('failed', 502, 'the router failed', true, {}, { step: 'query' });
+    return new QueryError(
+      'failed',
+      502,
+      'internal error of the router',
+      true,
+      {},
+      { step: 'query' },
+    );
   }
 }
--- a/src/router/query-error.ts
+++ b/src/router/query-error.ts
@@ -1,11 +1,11 @@
-/** A query that ends without an answer, as the caller is told. */
+/** Errors of queries that end without an answer, as returned to the caller. */
 import { DriftwayError, ErrorLabel, type ErrorContext } from '../errors/driftway-error.js';
 import type { QueryErrorBody, QueryErrorCode } from '../model/query-answer.js';
 
-/** What the caller is told besides the code and the message. */
+/** Fields of the response body besides the code, the message and `mayHaveRun`. */
 export type QueryErrorDetails = Omit<QueryErrorBody['error'], 'code' | 'message' | 'mayHaveRun'>;
 
-/** Typed end of a query. Its HTTP status says the same as its code. */
+/** End of a query without an answer; `reason` becomes the message of the response body. */
 export class QueryError extends DriftwayError {
   constructor(
     readonly code: QueryErrorCode,
@@ -18,13 +18,13 @@
     super(reason, { labels: errorLabels(code, mayHaveRun), ...context });
   }
 
-  /** Body of the HTTP response. */
+  /** Body of the HTTP response for this error. */
   toBody(): QueryErrorBody {
     const { code, reason: message, mayHaveRun, details } = this;
     return { error: { code, message, mayHaveRun, ...details } };
   }
 
-  /** The same end with more details, such as the request id. */
+  /** A copy with additional details, such as the request id; existing details take precedence. */
   withDetails(details: QueryErrorDetails): QueryError {
     const { code, status, reason, mayHaveRun, step } = this;
     const merged = { ...details, ...this.details };
@@ -37,13 +37,13 @@
   return mayHaveRun ? [] : [ErrorLabel.NotRun, ErrorLabel.Transient];
 }
 
-/** The request is wrong; nothing was run. */
+/** Error for an invalid request, of which nothing ran; `path` names the invalid field. */
 export function badRequest(reason: string, path?: string, status = 400): QueryError {
   const details = path === undefined ? {} : { path };
   return new QueryError('bad_request', status, reason, false, details, { step: 'read request' });
 }
 
-/** Nothing was run; the caller may come back after `retryAfterMs` milliseconds. */
+/** Error for a refused query, of which nothing ran; `retryAfterMs` tells the caller when to retry. */
 export function refusedNotRun(reason: string, retryAfterMs: number, status = 503): QueryError {
   return new QueryError(
     'refused_not_run',
--- a/src/router/query-execution.ts
+++ b/src/router/query-execution.ts
@@ -1,6 +1,6 @@
 /**
- * One try of a query: asks every shard of the plan at once, waits as the
- * completion policy says, cancels the rest and states the coverage.
+ * Executes a query plan: queries every shard of the plan concurrently, waits as long as
+ * the completion policy says, cancels the remaining shards and computes the coverage.
  */
 import { setMaxListeners } from 'node:events';
 import type { MissingReason } from '../model/coverage.js';
@@ -17,7 +17,7 @@
 import { requiredShardCount } from './snapshot-planner.js';
 import { Wakeup } from './wakeup.js';
 
-/** Runs one try. Used once. */
+/** One execution of a plan; {@link QueryExecution.run} may be called once. */
 export class QueryExecution {
   private readonly endController = new AbortController();
   private readonly wakeup: Wakeup;
@@ -36,12 +36,12 @@
     private readonly plan: QueryPlan,
     tally: AttemptTally,
   ) {
-    // Every shard may wait on it at the same time.
+    // Every shard may listen to the signal at the same time.
     setMaxListeners(0, this.endController.signal);
     this.wakeup = new Wakeup(router.environment.clock);
     const { maximumAnswerBytes } = query.service.settings;
     this.replyMemory = new ReplyMemoryBudget(maximumAnswerBytes, () => this.wakeup.wake());
-    // Each shard that waits for a connection or for a retry listens once.
+    // Each shard that waits for a connection or for a retry adds one listener.
     setMaxListeners(plan.shards.length + 1, this.endController.signal);
     const execution = {
       plan,
@@ -56,7 +56,7 @@
     this.startedAt = router.environment.clock.now();
   }
 
-  /** Ends at the query's deadline at the latest. Aborting `signal` cancels every attempt. */
+  /** Resolves at the query's deadline at the latest. Aborting `signal` cancels every attempt. */
   async run(signal: AbortSignal): Promise<ExecutionResult> {
     const onAbort = (): void => this.wakeup.wake();
     signal.addEventListener('abort', onAbort, { once: true });
@@ -70,7 +70,7 @@
     for (const shard of this.shards) shard.cancel();
     const sufficient =
       this.isSufficient && endReason !== 'answer_too_large' && endReason !== 'cancelled';
-    // Only once every attempt has ended is it known whether any byte left.
+    // Whether any attempt was sent is known only once every attempt has ended.
     if (!sufficient) await Promise.all(tasks);
     return this.createResult(endReason, sufficient);
   }
@@ -88,7 +88,7 @@
     if (this.mayEndWait(outcome)) this.wakeup.wake();
   }
 
-  /** Whether the outcome can change the decision to wait; most replies cannot. */
+  /** Whether the outcome can change the decision to wait; most outcomes cannot. */
   private mayEndWait(outcome: ShardOutcome): boolean {
     return (
       outcome.kind === 'missing' || this.isSufficient || this.pending === 0 || this.isAnswerTooLarge
@@ -99,7 +99,7 @@
     return this.query.service.policies.completion;
   }
 
-  /** Milliseconds. */
+  /** Time since the shards were queried. Milliseconds. */
   private get sinceAsked(): number {
     return this.router.environment.clock.now() - this.startedAt;
   }
--- a/src/router/query-parser.ts
+++ b/src/router/query-parser.ts
@@ -1,29 +1,29 @@
-/** Reads a caller's request; it may be anything. */
+/** Parses and validates a caller's request, whose body is untrusted. */
 import * as z from 'zod';
 import { queryRequestSchema, type QueryRequest } from '../model/query-request.js';
 import { badRequest, QueryError } from './query-error.js';
 
 const QUERY_PATH = /^\/v1\/services\/([^/]{1,64})\/query$/;
 
-/** Text that could hold a number beyond the largest double. */
+/** Matches any JSON text that may contain a number beyond the largest double. */
 const POSSIBLY_INFINITE_NUMBER = /[eE]\+?\d{3}|\d{300}/;
 
 /**
- * What `JSON.parse` returned needs no second look at whether it is JSON; the
- * schema's recursive check would cost time and stack on large queries.
+ * Schema that does not check whether `query` is JSON, since `JSON.parse` returned it; the
+ * recursive check of {@link queryRequestSchema} costs time and stack on large queries.
  */
 const parsedRequestSchema = queryRequestSchema.extend({
   query: z.unknown().refine((query) => query !== undefined, 'is required'),
 });
 
-/** A request and its query as text. */
+/** A validated request with the JSON text of its query. */
 export interface ParsedQuery {
   readonly request: QueryRequest;
-  /** The query as JSON text, for the back ends. */
+  /** JSON text of the query, the body of every attempt. */
   readonly queryText: string;
 }
 
-/** The service a path names, or undefined when it is no query path. */
+/** Name of the service in a query path, or undefined for any other path. */
 export function parseServiceName(path: string): string | undefined {
   return QUERY_PATH.exec(path)?.[1];
 }
@@ -44,15 +44,15 @@
   }
 }
 
-/** Would be written as null, which is another query. */
+/** `JSON.stringify` replacer that rejects infinite numbers: they would become null, a different query. */
 function rejectInfinite(_key: string, value: unknown): unknown {
   if (value === Infinity || value === -Infinity) {
-    throw badRequest('a number is too large', 'query');
+    throw badRequest('a number is beyond the range of a double', 'query');
   }
   return value;
 }
 
-/** Writing fails only where nesting exhausts the stack. */
+/** Serializes the query; `JSON.stringify` itself fails only where nesting exhausts the stack. */
 function serializeQuery(query: unknown, mayBeInfinite: boolean): string {
   try {
     return JSON.stringify(query, mayBeInfinite ? rejectInfinite : undefined);
@@ -63,9 +63,9 @@
 }
 
 /**
- * The request in `body`.
+ * Parses a request body.
  *
- * @throws QueryError of code `bad_request` naming the first wrong field.
+ * @throws QueryError with code `bad_request` that names the first invalid field.
  */
 export function parseQueryRequest(body: Uint8Array): ParsedQuery {
   const text = decodeBody(body);
@@ -76,5 +76,5 @@
   }
   const [issue] = result.error.issues;
   const path = issue === undefined ? '' : issue.path.map(String).join('.');
-  throw badRequest(issue?.message ?? 'the body is not a query', path || undefined);
+  throw badRequest(issue?.message ?? 'the body is not a valid query', path || undefined);
 }
--- a/src/router/query-pipeline.ts
+++ b/src/router/query-pipeline.ts
@@ -1,4 +1,4 @@
-/** A query from admission to its answer or typed error. */
+/** Takes a query from admission to its answer or error. */
 import type { AdmissionTicket } from '../policies/admission-policy.js';
 import { serializeAnswer } from './answer-serializer.js';
 import { AttemptTally } from './attempt-tally.js';
@@ -9,15 +9,15 @@
 import type { QueryPlan } from './query-plan.js';
 import type { RouterContext } from './router-context.js';
 
-/** When to come back after a refusal for want of replicas, or after too few replies. Milliseconds. */
+/** Retry time told to a caller when too few replicas are available or too few shards answered. Milliseconds. */
 export const RETRY_AFTER_MS = 1_000;
 const STATUS_TOO_MANY_REQUESTS = 429;
 const NO_SNAPSHOTS: ReadonlySet<string> = new Set();
 
-/** Serves one query. Used once. */
+/** Serves one query; {@link QueryPipeline.run} may be called once. */
 export class QueryPipeline {
   private readonly tally = new AttemptTally();
-  /** Over all tries. */
+  /** Whether any back end may have started the request, over all executions. */
   private mayHaveRun = false;
 
   constructor(
@@ -26,9 +26,9 @@
   ) {}
 
   /**
-   * The answer's JSON text.
+   * Resolves to the JSON text of the answer.
    *
-   * @throws QueryError for every other end.
+   * @throws QueryError when the query ends without an answer.
    */
   async run(signal: AbortSignal): Promise<string> {
     const ticket = await this.admit(signal);
@@ -68,12 +68,12 @@
   private plan(excluded: ReadonlySet<string>): QueryPlan {
     const plan = this.findPlan(excluded);
     if (plan !== undefined && this.remaining > 0) return plan;
-    const reason = plan === undefined ? 'no_snapshot' : 'deadline';
-    this.router.metrics.refusals.inc({ reason });
+    const refusalReason = plan === undefined ? 'no_snapshot' : 'deadline';
+    this.router.metrics.refusals.inc({ reason: refusalReason });
     throw refusedNotRun(
       plan === undefined
         ? 'no snapshot is held by enough live replicas for the required coverage'
-        : 'the deadline passed before anything could be sent',
+        : 'the deadline passed before any attempt was sent',
       RETRY_AFTER_MS,
     );
   }
@@ -83,7 +83,7 @@
     return service.planner.plan({ requiredCoverage, key: request.key, excluded });
   }
 
-  /** A second plan on another snapshot, for a repeatable query that misses shards for its own. */
+  /** A second plan, on another snapshot, for a repeatable query whose snapshot a replica lacks. */
   private replan(first: ExecutionResult, signal: AbortSignal): QueryPlan | undefined {
     if (!this.query.request.repeatable || !first.hasReplicaWithoutSnapshot) return undefined;
     if (signal.aborted || this.remaining <= 0) return undefined;
@@ -113,7 +113,7 @@
     );
   }
 
-  /** The typed error of a try that brought no answer; given at once, with when to come back. */
+  /** The error for an execution without an answer, with a retry time where a retry is allowed. */
   private createError(result: ExecutionResult): QueryError {
     const { coverage, endReason, plan } = result;
     const mayHaveRun = this.mayHaveRun && !this.router.faults.claimNotRunAfterSending;
--- a/src/router/query-plan.ts
+++ b/src/router/query-plan.ts
@@ -1,8 +1,8 @@
-/** What one try of a query will do: one snapshot, one layout, the shards to ask. */
+/** The plan of one execution of a query: a snapshot, its layout and the shards to query. */
 import type { Snapshot } from '../model/snapshot.js';
 import type { ShardView } from './layout-view.js';
 
-/** Made once for each try and never changed. */
+/** Immutable plan; a cached plan is shared by several queries. */
 export interface QueryPlan {
   readonly snapshot: Snapshot;
   /** The snapshot as `epoch.version`. */
--- a/src/router/reply-memory-budget.ts
+++ b/src/router/reply-memory-budget.ts
@@ -1,21 +1,21 @@
 /**
- * Bounds what the replies of one try hold in memory, those still arriving
- * included. Two replies of a shard may arrive at once, its hedge's being the
- * second, so twice the largest answer is room for every answer that is allowed.
+ * Limits the memory that the replies of one execution take, including replies still
+ * arriving. Two replies of one shard can arrive at the same time, the second from its
+ * hedge, so twice the maximum answer size suffices for every allowed answer.
  */
 
-/** Copies of one shard's reply that may arrive at the same time. */
+/** Replies of one shard that can arrive at the same time: the first attempt's and its hedge's. */
 const CONCURRENT_REPLIES_PER_SHARD = 2;
 
-/** Bytes of the replies of one try. */
+/** Bytes reserved for the replies of one execution. */
 export class ReplyMemoryBudget {
   private reservedBytes = 0;
   private exceeded = false;
 
   constructor(
-    /** Bytes. */
+    /** Maximum size of an answer. Bytes. */
     private readonly maximumAnswerBytes: number,
-    /** Called once, when the answer can no longer fit. */
+    /** Called once, when a reservation exceeds the budget. */
     private readonly onExceeded: () => void,
   ) {}
 
@@ -23,7 +23,7 @@
     return this.exceeded;
   }
 
-  /** Takes room for `bytes` that have arrived; false when there is none. */
+  /** Reserves `bytes` that have arrived; false once the budget is exceeded. */
   reserve(bytes: number): boolean {
     if (this.exceeded) return false;
     this.reservedBytes += bytes;
@@ -33,7 +33,7 @@
     return false;
   }
 
-  /** Gives back the room of a reply that is not used. */
+  /** Releases the bytes of a reply that is discarded. */
   release(bytes: number): void {
     this.reservedBytes -= bytes;
   }
--- a/src/router/reply-verification.ts
+++ b/src/router/reply-verification.ts
@@ -1,9 +1,9 @@
-/** Decides whether a back end's reply belongs to the attempt that got it. */
+/** Checks that a back end's reply belongs to the attempt that received it, and parses its headers. */
 import { BackendHeader, type BackendDisposition } from '../model/backend-protocol.js';
 import type { ReplyMark } from '../membership/replica-registry.js';
 import type { HttpHeaders } from '../seams/http.js';
 
-/** Why a reply was dropped; the label of the counter. */
+/** Why a reply was dropped; the value of the counter's `reason` label. */
 export type DroppedReplyReason =
   | 'missing_echo'
   | 'foreign_request'
@@ -17,7 +17,7 @@
   | 'truncated'
   | 'too_large';
 
-/** What the reply has to echo. */
+/** Identifiers of an attempt that its reply has to echo. */
 export interface AttemptIdentity {
   readonly requestId: string;
   readonly attemptId: string;
@@ -34,7 +34,7 @@
   'failed',
 ]);
 
-/** The first echo that does not match, or undefined when all do. */
+/** The reason for the first echoed header that does not match, or undefined when all match. */
 export function findMismatch(
   identity: AttemptIdentity,
   headers: HttpHeaders,
@@ -54,13 +54,13 @@
   return undefined;
 }
 
-/** The disposition a reply names, or undefined when it names none that exists. */
+/** The disposition in the headers, or undefined when it is absent or unknown. */
 export function parseDisposition(headers: HttpHeaders): BackendDisposition | undefined {
   const text = headers[BackendHeader.Disposition];
   return text !== undefined && DISPOSITIONS.has(text) ? (text as BackendDisposition) : undefined;
 }
 
-/** What the sender said of itself, or undefined when it named no incarnation. */
+/** The replica's state in the headers, or undefined when they contain no valid incarnation. */
 export function parseReplyMark(headers: HttpHeaders): ReplyMark | undefined {
   const incarnation = parseNumber(headers[BackendHeader.Incarnation]);
   if (!Number.isSafeInteger(incarnation) || incarnation === undefined) return undefined;
--- a/src/router/resend-resolver.ts
+++ b/src/router/resend-resolver.ts
@@ -1,4 +1,4 @@
-/** Tells resends of not repeatable requests what became of the first. */
+/** Resolves a resend to the outcome of the first request when the request is not repeatable. */
 import type { Clock } from '../seams/clock.js';
 import { subtractAnswerReserve } from './answer-reserve.js';
 import type { FinishedQuery } from './finished-query.js';
@@ -10,30 +10,30 @@
   return new QueryError('outcome_unknown', 504, reason, true, {}, { step: 'find outcome' });
 }
 
-/** Of one router. */
+/** Finds the outcomes that one router has stored for earlier requests. */
 export class ResendResolver {
   constructor(
-    private readonly outcomes: OutcomeStore,
+    private readonly outcomeStore: OutcomeStore,
     private readonly clock: Clock,
   ) {}
 
   /**
-   * The outcome of an earlier request with the same id, or undefined when this
-   * one is to be run.
+   * The outcome of an earlier request with the same id, or undefined when this request
+   * has to run.
    *
-   * @throws QueryError when the id is another request's, or the outcome is not
-   *   known here; the latter also as the rejection of a first that runs longer
-   *   than the resend has time.
+   * @throws QueryError when the id belongs to a different request, or when this router
+   *   does not know the outcome. The promise rejects with the latter error when the first
+   *   request is still running at the resend's own deadline.
    */
   find(service: string, query: ParsedQuery): Promise<FinishedQuery> | undefined {
-    const earlier = this.outcomes.find(service, query);
+    const earlier = this.outcomeStore.find(service, query);
     const { deadlineMs, repeatable, resend } = query.request;
     if (earlier !== undefined) {
       return deadlineMs === undefined ? earlier : this.withTimeout(deadlineMs, earlier);
     }
-    // It may have been run by another router, or by this one before it restarted.
+    // The request may have run through another router, or through this one before a restart.
     if (resend === true && !repeatable) {
-      throw outcomeUnknown('this router knows no earlier request with this id');
+      throw outcomeUnknown('this router has no record of an earlier request with this requestId');
     }
     return undefined;
   }
@@ -41,7 +41,7 @@
   private withTimeout(deadlineMs: number, earlier: Promise<FinishedQuery>): Promise<FinishedQuery> {
     return new Promise((resolve, reject) => {
       const timer = this.clock.setTimer(subtractAnswerReserve(deadlineMs), () =>
-        reject(outcomeUnknown('the first request with this id is still running')),
+        reject(outcomeUnknown('the first request with this requestId is still running')),
       );
       void earlier.then((finished) => {
         timer.cancel();
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -1,4 +1,4 @@
-/** The query daemon: serves callers, asks back ends, follows the configuration. */
+/** The router daemon: serves callers, queries back ends and applies configuration revisions. */
 import { createAdapter } from '@most/adapter';
 import { runEffects, tap, until } from '@most/core';
 import type { Stream } from '@most/types';
@@ -29,21 +29,21 @@
 import { RouterReadiness } from './router-readiness.js';
 import { ServiceDirectory } from './service-directory.js';
 
-/** Where a daemon's lines and counters go. */
+/** Destinations of a daemon's log lines and metrics. */
 export interface RouterTelemetry {
   readonly logger: Logger;
   readonly registry: Registry;
 }
 
 /**
- * Time between readiness going false and the first closed connection. Longer
- * than the 5 s for which a caller's connection may be idle: every answer of this
- * time ends its connection, so that at its end none is left on which a caller
- * may just be sending a request. Milliseconds.
+ * Time between readiness turning false and the listener's close. Longer than the 5 s for
+ * which a caller's connection may be idle: every response during this time closes its
+ * connection, so that afterwards none is left on which a caller could be sending a
+ * request. Milliseconds.
  */
 export const STOP_NOTICE_MS = 5_500;
 
-/** One running router. */
+/** A running router; it stops when {@link RouterDaemon.stop} is called. */
 export class RouterDaemon {
   private readonly context: RouterContext;
   private readonly directory: ServiceDirectory;
@@ -85,7 +85,8 @@
   }
 
   /**
-   * Starts a router that listens and follows `source`, which stays the caller's to close.
+   * Starts a router that listens and applies the revisions of `source`. The caller remains
+   * responsible for closing `source`.
    *
    * @throws ConnectionError when the listener cannot be opened.
    */
@@ -101,15 +102,16 @@
     return daemon;
   }
 
-  /** Where callers reach it. */
+  /** Address of the HTTP listener. Throws before the listener is open. */
   get address(): Address {
-    if (this.listener === undefined) throw new Error('the router does not listen yet');
+    if (this.listener === undefined)
+      throw new Error('the address of the router is not known before its listener is open');
     return this.listener.address;
   }
 
   /**
-   * Stops without cutting anything off: no new work from now on, every query in
-   * flight is answered, connections are closed as they fall idle.
+   * Drains and stops the router: it refuses new queries, answers every query in flight and
+   * closes connections as they become idle. Further calls return the same promise.
    */
   stop(): Promise<void> {
     this.stopped ??= this.shutDown();
@@ -127,7 +129,7 @@
       router: this.context,
       directory: this.directory,
       readiness: this.readiness,
-      outcomes: outcomeStore,
+      outcomeStore,
       inFlight: this.inFlight,
       logger: this.logger,
     });
@@ -152,7 +154,7 @@
     const scheduler = createClockScheduler(this.context.environment.clock);
     const untilStopped = until(this.subscriptionsEnd, stream);
     runEffects(tap(consume, untilStopped), scheduler).catch((error: unknown) => {
-      this.logger.error('subscription ended', { reason: String(error) });
+      this.logger.error('configuration subscription failed', { reason: String(error) });
     });
   }
 
@@ -165,7 +167,7 @@
 
   private async becomeReady(revision: number): Promise<void> {
     await this.context.registry.firstReports();
-    this.readiness.markReportsReceived();
+    this.readiness.markReplicasPolled();
     if (!this.readiness.isStopping) this.logger.info('router ready', { revision });
   }
 
@@ -199,7 +201,7 @@
     this.logger.info('router stopping', { inFlight: this.inFlight.size });
     if (this.context.faults.cutInFlightAtStop) this.inFlight.cancelAll();
     await this.context.environment.clock.sleep(STOP_NOTICE_MS);
-    await this.inFlight.waitUntilDrained();
+    await this.inFlight.whenDrained();
     await this.listener?.close();
     this.endSubscriptions(undefined);
     await this.context.registry.stop();
--- a/src/router/router-faults.ts
+++ b/src/router/router-faults.ts
@@ -1,28 +1,28 @@
 /**
- * Switches that break one promise each, so that an auditor's test can show that
- * it would notice. Reachable from code only: no settings file, flag or request
- * can set one. Every switch is read in exactly one decision.
+ * Fault injection for tests: each switch violates one guarantee, so that a test can prove
+ * that its checks detect the violation. Only code can set a switch: no settings file, flag
+ * or request can. Every switch is read in exactly one decision.
  */
 
 /** All switches; each is false in production. */
 export interface RouterFaults {
-  /** Asks each shard for the newest snapshot its replica holds, not for the pinned one. */
+  /** Requests from each shard the newest snapshot its replica holds, instead of the plan's. */
   readonly mergeAcrossSnapshots: boolean;
-  /** States missing shards as reached. */
+  /** Lists missing shards as reached in the coverage. */
   readonly claimUnreachedShard: boolean;
-  /** Takes replies whose echoed identifiers do not match. */
+  /** Accepts replies whose echoed identifiers do not match. */
   readonly skipReplyMatching: boolean;
-  /** Says "not run" of requests that may have been run. */
+  /** Reports requests that may have run as not run. */
   readonly claimNotRunAfterSending: boolean;
-  /** Retries not repeatable requests that may have been run. */
+  /** Retries requests that are not repeatable even when they may have run. */
   readonly retryNotRepeatable: boolean;
-  /** Sends new work to replicas that are draining or gone. */
+  /** Sends new attempts to replicas that are draining or gone. */
   readonly ignoreDrain: boolean;
-  /** A planned stop cancels the requests in flight. */
+  /** A planned stop cancels the queries in flight. */
   readonly cutInFlightAtStop: boolean;
 }
 
-/** What production runs with. */
+/** No fault injected; production runs with it. */
 export const NO_ROUTER_FAULTS: RouterFaults = {
   mergeAcrossSnapshots: false,
   claimUnreachedShard: false,
--- a/src/router/router-metrics.ts
+++ b/src/router/router-metrics.ts
@@ -1,11 +1,11 @@
-/** Counters of the router. */
+/** Prometheus metrics of the router. */
 import { Counter, Gauge, Histogram, type Registry } from 'prom-client';
 
 const LATENCY_BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30];
 
-/** All metrics of one router, in the registry it was given. */
+/** Creates and registers all metrics of one router in the registry passed to it. */
 export class RouterMetrics {
-  /** Outcome: `answered` or the code of the error, or `caller_gone`. */
+  /** The `outcome` label is `answered`, an error code or `caller_gone`. */
   readonly queries;
   readonly attempts;
   readonly droppedReplies;
@@ -13,7 +13,7 @@
   readonly replannedQueries;
   readonly joinedResends;
   readonly queriesInFlight;
-  /** Seconds, as is usual for Prometheus. */
+  /** Seconds, the base unit of Prometheus. */
   readonly duration;
 
   constructor(registry: Registry) {
--- a/src/router/router-readiness.ts
+++ b/src/router/router-readiness.ts
@@ -1,27 +1,27 @@
-/** Whether a router takes new queries, and why not. */
+/** Decides whether a router accepts new queries. */
 import type { Logger } from '../observability/logger.js';
 import type { ConfigurationSource } from '../settings/configuration-source.js';
 import { refusedNotRun } from './query-error.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
-/** When to come back to a router that is starting, stopping or cut off. Milliseconds. */
+/** Retry time told to callers while the router starts, stops or has stale settings. Milliseconds. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Reasons not to take a query. */
+/** Why the router refuses queries; also the body of `/readyz` and the `reason` label of refusals. */
 export type NotReadyReason = 'stopping' | 'no_configuration' | 'no_reports' | 'stale_settings';
 
 const REFUSAL_MESSAGES: Readonly<Record<NotReadyReason, string>> = {
   stopping: 'this router is stopping',
   no_configuration: 'this router has no configuration yet',
-  no_reports: 'this router has not asked the replicas for their reports yet',
-  stale_settings: 'this router cannot tell whether its settings are still in force',
+  no_reports: 'this router has not polled its replicas for their reports yet',
+  stale_settings: 'this router cannot confirm that its settings are the latest',
 };
 
-/** State of one router. */
+/** Startup, stop and freshness state of one router. */
 export class RouterReadiness {
   private stopping = false;
   private hasConfiguration = false;
-  private hasReports = false;
+  private hasPolledReplicas = false;
   private lastLoggedIsFresh = true;
 
   constructor(
@@ -33,8 +33,8 @@
     this.hasConfiguration = true;
   }
 
-  markReportsReceived(): void {
-    this.hasReports = true;
+  markReplicasPolled(): void {
+    this.hasPolledReplicas = true;
   }
 
   markStopping(): void {
@@ -45,14 +45,14 @@
     return this.stopping;
   }
 
-  /** Why the router as a whole takes no query; undefined when it does. For `/readyz`. */
+  /** Why the router is not ready, for `/readyz`; undefined when it is ready. */
   notReadyReason(): NotReadyReason | undefined {
     if (this.stopping) return 'stopping';
     if (!this.hasConfiguration) return 'no_configuration';
-    return this.hasReports ? undefined : 'no_reports';
+    return this.hasPolledReplicas ? undefined : 'no_reports';
   }
 
-  /** Why a query of `service` is not taken; undefined when it is. */
+  /** Why a query of `service` is refused; undefined when it is accepted. */
   queryRefusalReason(service: ServiceRuntime | undefined): NotReadyReason | undefined {
     const reason = this.notReadyReason();
     if (reason !== undefined && reason !== 'no_reports') return reason;
@@ -60,7 +60,7 @@
     return isRefusing && !this.checkFreshness() ? 'stale_settings' : undefined;
   }
 
-  /** Whether the settings are fresh; logs every change. */
+  /** Whether the settings are confirmed to be the latest; logs every change of the result. */
   checkFreshness(): boolean {
     const { fresh, committedRevision } = this.source.freshness();
     if (fresh !== this.lastLoggedIsFresh) {
@@ -72,7 +72,7 @@
   }
 }
 
-/** The refusal for a reason. */
+/** The error with which a query is refused for `reason`. */
 export function notReadyError(reason: NotReadyReason): ReturnType<typeof refusedNotRun> {
   return refusedNotRun(REFUSAL_MESSAGES[reason], RETRY_AFTER_MS);
 }
--- a/src/router/service-directory.ts
+++ b/src/router/service-directory.ts
@@ -1,4 +1,4 @@
-/** The services of the configuration in force, ready to be queried. */
+/** The services of the current configuration revision. */
 import type { ReplicaRegistry } from '../membership/replica-registry.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import { createServicePolicies, type ServicePolicies } from '../policies/service-policies.js';
@@ -8,7 +8,7 @@
 import type { ServiceSettings } from '../settings/service-settings.js';
 import { ServiceRuntime } from './service-runtime.js';
 
-/** Keeps one {@link ServiceRuntime} for each service, of the newest revision. */
+/** Holds one {@link ServiceRuntime} for each service of the latest applied revision. */
 export class ServiceDirectory {
   private runtimes = new Map<string, ServiceRuntime>();
   private currentRevision: number | undefined;
@@ -19,7 +19,7 @@
     private readonly zone: string,
   ) {}
 
-  /** Undefined before the first configuration. */
+  /** The applied revision; undefined before the first one. */
   get revision(): number | undefined {
     return this.currentRevision;
   }
@@ -28,7 +28,7 @@
     return this.runtimes.get(service);
   }
 
-  /** Puts a revision in force; an earlier one than the present is ignored. */
+  /** Applies a revision; ignores one that is not newer than the current revision. */
   apply(state: ConfigurationState): void {
     if (this.currentRevision !== undefined && state.revision <= this.currentRevision) return;
     this.currentRevision = state.revision;
@@ -46,7 +46,7 @@
     this.runtimes = next;
   }
 
-  /** The policies in use when the settings are the same, since they have learned; else new ones. */
+  /** The current policies, with the statistics they have collected, when the settings are equal; else new ones. */
   private reuseOrCreatePolicies(service: string, settings: ServiceSettings): ServicePolicies {
     const current = this.runtimes.get(service);
     if (current !== undefined && settingsEqual(current.settings, settings)) return current.policies;
@@ -59,7 +59,7 @@
   return JSON.stringify(left) === JSON.stringify(right);
 }
 
-/** Every replica of every layout, each once. */
+/** The replicas of all layouts of all services, keyed by id. */
 function replicasOf(state: ConfigurationState): Map<string, ReplicaDefinition> {
   const replicas = new Map<string, ReplicaDefinition>();
   for (const { layouts } of Object.values(state.services)) {
--- a/src/router/service-runtime.ts
+++ b/src/router/service-runtime.ts
@@ -1,4 +1,4 @@
-/** One service as it stands at one settings revision. Immutable: a query holds it to its end. */
+/** One service at one configuration revision. */
 import type { ReplicaRegistry } from '../membership/replica-registry.js';
 import type { ServiceDefinition } from '../model/service-definition.js';
 import type { ServicePolicies } from '../policies/service-policies.js';
@@ -6,7 +6,7 @@
 import { createLayoutView, type LayoutView } from './layout-view.js';
 import { SnapshotPlanner } from './snapshot-planner.js';
 
-/** Definition, effective settings, policies and layouts of one revision. */
+/** Definition, effective settings, policies and layouts of one revision; a query keeps them to its end. */
 export class ServiceRuntime {
   readonly layouts: readonly LayoutView[];
   readonly planner: SnapshotPlanner;
--- a/src/router/shard-candidates.ts
+++ b/src/router/shard-candidates.ts
@@ -1,11 +1,11 @@
-/** Which replicas of a shard may get an attempt now. */
+/** Selects the replicas of a shard that may receive an attempt. */
 import type { ReplicaRecord } from '../membership/replica-record.js';
 import type { ReplicaRegistry } from '../membership/replica-registry.js';
 import type { MissingReason } from '../model/coverage.js';
 import type { OutlierEjection } from '../policies/outlier-ejection.js';
 import type { ShardView } from './layout-view.js';
 
-/** Looks a shard's replicas over for one query. */
+/** The replicas of one shard, and those already tried in one execution. */
 export class ShardCandidates {
   private readonly tried = new Set<ReplicaRecord>();
 
@@ -21,7 +21,7 @@
     this.tried.add(record);
   }
 
-  /** Replicas that may get new work and hold the snapshot. */
+  /** Replicas that may receive attempts and hold the snapshot. */
   holders(): ReplicaRecord[] {
     return this.shard.replicas.filter(
       (record) => this.registry.mayReceive(record) && record.holds(this.snapshot),
@@ -29,8 +29,8 @@
   }
 
   /**
-   * The best group of holders: not tried yet and sound, then not tried yet,
-   * then any. A replica that does not report or keeps failing is so a last resort.
+   * The preferred group of holders: healthy ones not tried yet, else any not tried yet,
+   * else all. A replica that does not report or is ejected as an outlier is a last resort.
    */
   preferred(): ReplicaRecord[] {
     const holders = this.holders();
@@ -39,14 +39,14 @@
     return [healthy, untried, holders].find((group) => group.length > 0) ?? [];
   }
 
-  /** Siblings for a hedge: not tried, reporting, with a free connection. */
+  /** Holders that may receive a hedge: not tried yet, healthy and with a free connection. */
   hedgeCandidates(): ReplicaRecord[] {
     return this.holders().filter(
       (record) => !this.tried.has(record) && this.isHealthy(record) && record.hasRoom,
     );
   }
 
-  /** Whether a replica that may get new work does not hold the snapshot, and so may hold another. */
+  /** Whether a replica that may receive attempts lacks the snapshot, and so may hold another. */
   get hasReplicaWithoutSnapshot(): boolean {
     return this.shard.replicas.some(
       (record) => this.registry.mayReceive(record) && !record.holds(this.snapshot),
@@ -57,7 +57,7 @@
     return !record.isSuspect && !this.outliers.isEjected(record.process);
   }
 
-  /** Why there is no holder. */
+  /** Why the shard is missing when it has no holder. */
   missingReason(): MissingReason {
     const anyUsable = this.shard.replicas.some((record) => this.registry.mayReceive(record));
     return anyUsable ? 'snapshot_not_held' : 'no_replica';
--- a/src/router/shard-execution.ts
+++ b/src/router/shard-execution.ts
@@ -1,8 +1,7 @@
 /**
- * One shard's part of one query: a first attempt, a hedge when it is slow, and
- * retries when it fails, each at another replica where there is one. A request
- * that is not repeatable is never hedged, and is not retried once an attempt
- * may have been run.
+ * Queries one shard for one query: a first attempt, a hedge when it is slow, and retries
+ * when it fails, each at another replica where there is one. A request that is not
+ * repeatable is never hedged, and is not retried once an attempt may have run.
  */
 import type { ReplicaRecord } from '../membership/replica-record.js';
 import { waitForRoom } from '../membership/wait-for-room.js';
@@ -21,9 +20,9 @@
   cancel(): void;
 }
 
-/** Runs one shard's part. */
+/** The attempts at one shard in one execution; {@link ShardExecution.run} may be called once. */
 export class ShardExecution {
-  /** Whether any attempt so far may have been run; kept after the end. */
+  /** Whether any attempt so far may have run; still updated after the execution has ended. */
   mayHaveRun = false;
   private attempts = 0;
   private readonly candidates: ShardCandidates;
@@ -43,7 +42,7 @@
     );
   }
 
-  /** Ends with the first verified answer, or when nothing more may be tried. Never throws. */
+  /** Resolves with the first verified answer, or when no further attempt is allowed. Never throws. */
   async run(): Promise<ShardOutcome> {
     let outcome = await this.attemptOnce('primary');
     while (outcome.kind === 'failed') {
@@ -59,22 +58,22 @@
     return outcome;
   }
 
-  /** Whether a replica of the shard could answer from another snapshot only. */
+  /** Whether a replica that may receive attempts lacks the plan's snapshot. */
   get hasReplicaWithoutSnapshot(): boolean {
     return this.candidates.hasReplicaWithoutSnapshot;
   }
 
-  /** Cancels whatever is in flight. */
+  /** Cancels the attempts in flight. */
   cancel(): void {
     for (const controller of this.running) controller.abort();
   }
 
-  /** Launches at a replica with a free connection, waiting for one until the query ends. */
+  /** Sends an attempt to a replica with a free connection; waits for one until the execution ends. */
   private async attemptOnce(kind: AttemptKind): Promise<AttemptOutcome> {
     for (;;) {
       const preferred = this.candidates.preferred();
       if (preferred.length === 0) return failedAttempt(this.candidates.missingReason(), false);
-      // No await between the choice and the launch, so that two tasks never take one connection.
+      // No await between selection and launch, so that two tasks never take the same connection.
       const record = this.select(preferred.filter((each) => each.hasRoom));
       if (record !== undefined) return this.launchWithHedge(kind, record);
       await waitForRoom(preferred, this.execution.endSignal);
@@ -157,7 +156,7 @@
     });
   }
 
-  /** The first answer of two attempts, the other cancelled; the later failure when both fail. */
+  /** The first answer of two attempts, after cancelling the other; the later failure when both fail. */
   private async firstAnswered(
     first: RunningAttempt,
     second: RunningAttempt,
@@ -171,7 +170,7 @@
     return outcome;
   }
 
-  /** Whether anything but the retry policy stands against another attempt. */
+  /** Whether another attempt is allowed, before the retry policy decides. */
   private mayRetry(): boolean {
     if (this.execution.endSignal.aborted || this.candidates.holders().length === 0) return false;
     if (this.attempts >= this.query.service.settings.maximumAttemptsPerShard) return false;
@@ -183,9 +182,9 @@
   }
 
   /**
-   * When to try again; undefined for never. A replica that lacks the snapshot
-   * spent nothing on the request and drops out of the candidates, so the next
-   * one is asked at once and no budget is charged.
+   * Delay before the retry, or undefined for no retry. Milliseconds. A replica that lacks
+   * the snapshot did no work and is no longer a candidate, so the next replica is tried at
+   * once and no retry budget is charged.
    */
   private retryDelay(reason: MissingReason): number | undefined {
     if (reason === 'snapshot_not_held') return 0;
@@ -200,7 +199,7 @@
   }
 }
 
-/** The last of the replica's snapshots, `otherwise` when it holds none. */
+/** The last of the replica's snapshots, or `fallback` when it holds none. */
 function newestHeldSnapshot(record: ReplicaRecord, fallback: string): string {
   return [...record.heldSnapshots()].at(-1) ?? fallback;
 }
--- a/src/router/snapshot-planner.ts
+++ b/src/router/snapshot-planner.ts
@@ -1,8 +1,8 @@
 /**
- * Chooses the snapshot a query is drawn from; see docs/design/snapshots.md.
- * First choice: the newest snapshot that at least one live replica of every
- * asked shard holds. Second: the newest held in enough shards for the required
- * coverage. Within each choice, replicas whose reports arrive are preferred.
+ * Chooses the snapshot that answers a query; see docs/design/snapshots.md. First choice:
+ * the newest snapshot that at least one live replica of every queried shard holds. Second
+ * choice: the newest held in enough shards for the required coverage. Each choice counts
+ * only replicas whose reports arrive at first, then all live replicas.
  */
 import type { ReplicaRecord } from '../membership/replica-record.js';
 import type { ReplicaRegistry } from '../membership/replica-registry.js';
@@ -17,22 +17,23 @@
 import type { QueryPlan } from './query-plan.js';
 import { shardIndexOfKey } from './shard-of-key.js';
 
-/** What the plan has to fulfil. */
+/** Requirements of a plan. */
 export interface PlanRequest {
-  /** 0 to 1. */
+  /** Minimum fraction of the queried shards, 0 to 1. */
   readonly requiredCoverage: number;
+  /** Limits the plan to the shard that holds the key. */
   readonly key: string | undefined;
-  /** Snapshots, as `epoch.version`, that a former try found gone. */
+  /** Snapshots, as `epoch.version`, that replicas lacked in an earlier execution. */
   readonly excluded: ReadonlySet<string>;
 }
 
-/** Least number of shards that makes `fraction` of `total`, proof against rounding of fractions. */
+/** Minimum number of shards, at least 1, that makes `fraction` of `total`; tolerates rounding errors. */
 export function requiredShardCount(fraction: number, total: number): number {
   const ROUNDING_TOLERANCE = 1e-9;
   return Math.max(1, Math.ceil(fraction * total - ROUNDING_TOLERANCE));
 }
 
-/** Plans for one service at one settings revision. */
+/** Plans the queries of one service at one configuration revision. */
 export class SnapshotPlanner {
   private readonly cache = new PlanCache();
 
@@ -41,7 +42,7 @@
     private readonly registry: ReplicaRegistry,
   ) {}
 
-  /** Undefined when no snapshot can reach the required coverage now. */
+  /** A plan, or undefined when no snapshot currently reaches the required coverage. */
   plan(request: PlanRequest): QueryPlan | undefined {
     const cacheable = request.key === undefined && request.excluded.size === 0;
     if (!cacheable) return this.choose(request);
@@ -68,14 +69,14 @@
   private readonly isReporting = (record: ReplicaRecord): boolean =>
     this.registry.mayReceive(record) && !record.isSuspect;
 
-  /** Shards of which some usable replica holds the plan's snapshot. */
+  /** Number of the plan's shards with a replica that satisfies `mayUse` and holds the snapshot. */
   private countHeldShards(plan: QueryPlan, mayUse: (record: ReplicaRecord) => boolean): number {
     const isHeld = (shard: ShardView): boolean =>
       shard.replicas.some((record) => record.holds(plan.snapshotText) && mayUse(record));
     return plan.shards.filter(isHeld).length;
   }
 
-  /** One possible plan for each snapshot that anyone holds, newest first. */
+  /** One candidate plan for each snapshot that any replica holds, newest first. */
   private candidates(request: PlanRequest): QueryPlan[] {
     const plans: QueryPlan[] = [];
     for (const layout of this.layouts) {
@@ -95,7 +96,7 @@
   return layout.shards.slice(index, index + 1);
 }
 
-/** Snapshots of the layout's epoch that replicas of `shards` hold, each once. */
+/** Distinct snapshots of the layout's epoch that replicas of `shards` hold. */
 function heldSnapshots(layout: LayoutView, shards: readonly ShardView[]): Snapshot[] {
   const texts = new Set<string>();
   for (const shard of shards) {
--- a/src/router/wakeup.ts
+++ b/src/router/wakeup.ts
@@ -1,20 +1,20 @@
-/** Lets one task sleep until something happened or a time has passed. */
+/** Lets one task wait until it is woken or a time has passed. */
 import type { Clock } from '../seams/clock.js';
 
-/** For one waiter at a time. */
+/** Wake-up signal for one waiter at a time; a wake before the wait is not lost. */
 export class Wakeup {
   private pending = false;
   private waiter: (() => void) | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Ends the wait under way, or the next one. */
+  /** Ends the current wait, or the next one when none is in progress. */
   wake(): void {
     this.pending = true;
     this.waiter?.();
   }
 
-  /** True when woken, false when `milliseconds` passed first. */
+  /** Resolves to true when woken, to false when `milliseconds` passed first. */
   wait(milliseconds: number): Promise<boolean> {
     return new Promise((resolve) => {
       const finish = (): void => {
