--- a/src/model/query-answer.ts
+++ b/src/model/query-answer.ts
@@ -11,7 +11,7 @@
 
 /** Number of attempts that a query sent to replicas, by kind. */
 export interface AttemptCounts {
-  /** First attempts, one for each shard in each execution of the query. */
+  /** First attempts, at most one for each shard in each execution of the query. */
   readonly primary: number;
   readonly hedges: number;
   readonly retries: number;
--- a/src/router/identifier-sequence.ts
+++ b/src/router/identifier-sequence.ts
@@ -12,7 +12,7 @@
     this.prefix = `${routerName}.${random.nextIdentifier(INCARNATION_IDENTIFIER_BYTES)}`;
   }
 
-  /** A new identifier, `router.incarnation.number`; the number is in base 36. */
+  /** A new identifier, `router.incarnation.number`: a random incarnation, a number in base 36. */
   next(): string {
     this.count += 1;
     return `${this.prefix}.${this.count.toString(36)}`;
--- a/src/router/outcome-store.ts
+++ b/src/router/outcome-store.ts
@@ -78,7 +78,7 @@
 
   /**
    * Runs a request for which {@link find} returned undefined, and stores its outcome.
-   * An outcome that no back end may have run is not stored: the request may be sent again.
+   * When no back end can have run the request, nothing is stored: it may be sent again.
    *
    * @throws QueryError with code `refused_not_run` when the limit of request ids is reached.
    */
--- a/src/router/plan-cache.ts
+++ b/src/router/plan-cache.ts
@@ -1,4 +1,4 @@
-/** Caches query plans until the set of replicas or the snapshots that they hold change. */
+/** Caches query plans until the replicas, their states or the snapshots they hold change. */
 import type { QueryPlan } from './query-plan.js';
 
 /** Callers choose the required coverage, so the number of cached plans needs a bound. */
@@ -13,7 +13,7 @@
     return this.plans.size;
   }
 
-  /** The plan for `requiredCoverage`; calls `choose` for the first request of each `generation`. */
+  /** The plan for `requiredCoverage`; calls `choose` when none of this `generation` is cached. */
   get(
     generation: number,
     requiredCoverage: number,
--- a/src/router/query-endpoint.ts
+++ b/src/router/query-endpoint.ts
@@ -1,4 +1,7 @@
-/** Serves `POST /v1/services/{service}/query`: parses the query, matches resends, executes it and responds. */
+/**
+ * Serves `POST /v1/services/{service}/query`: parses the query, answers a resend with the
+ * stored outcome, and executes any other query.
+ */
 import type { Logger } from '../observability/logger.js';
 import type { HttpRequest, HttpResponse } from '../seams/http.js';
 import { subtractAnswerReserve } from './answer-reserve.js';
--- a/src/router/query-pipeline.ts
+++ b/src/router/query-pipeline.ts
@@ -9,7 +9,10 @@
 import type { QueryPlan } from './query-plan.js';
 import type { RouterContext } from './router-context.js';
 
-/** Retry time told to a caller when too few replicas are available or too few shards answered. Milliseconds. */
+/**
+ * Retry time told to a caller when too few replicas are available, too few shards answered
+ * or the deadline has passed. Milliseconds.
+ */
 export const RETRY_AFTER_MS = 1_000;
 const STATUS_TOO_MANY_REQUESTS = 429;
 const NO_SNAPSHOTS: ReadonlySet<string> = new Set();
@@ -83,7 +86,7 @@
     return service.planner.plan({ requiredCoverage, key: request.key, excluded });
   }
 
-  /** A second plan, on another snapshot, for a repeatable query whose snapshot a replica lacks. */
+  /** A second plan, on another snapshot, when a replica of a missing shard lacks the first. */
   private replan(first: ExecutionResult, signal: AbortSignal): QueryPlan | undefined {
     if (!this.query.request.repeatable || !first.hasReplicaWithoutSnapshot) return undefined;
     if (signal.aborted || this.remaining <= 0) return undefined;
@@ -113,7 +116,10 @@
     );
   }
 
-  /** The error for an execution without an answer, with a retry time where a retry is allowed. */
+  /**
+   * The error for an execution without an answer. The caller gets it without further
+   * delay, and with a retry time where the request may be retried unchanged.
+   */
   private createError(result: ExecutionResult): QueryError {
     const { coverage, endReason, plan } = result;
     const mayHaveRun = this.mayHaveRun && !this.router.faults.claimNotRunAfterSending;
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -154,7 +154,7 @@
     const scheduler = createClockScheduler(this.context.environment.clock);
     const untilStopped = until(this.subscriptionsEnd, stream);
     runEffects(tap(consume, untilStopped), scheduler).catch((error: unknown) => {
-      this.logger.error('configuration subscription failed', { reason: String(error) });
+      this.logger.error('subscription failed', { reason: String(error) });
     });
   }
 
--- a/src/router/service-directory.ts
+++ b/src/router/service-directory.ts
@@ -46,7 +46,7 @@
     this.runtimes = next;
   }
 
-  /** The current policies, with the statistics they have collected, when the settings are equal; else new ones. */
+  /** The current policies, to keep what they have learned, when the settings are equal; else new ones. */
   private reuseOrCreatePolicies(service: string, settings: ServiceSettings): ServicePolicies {
     const current = this.runtimes.get(service);
     if (current !== undefined && settingsEqual(current.settings, settings)) return current.policies;
--- a/test/router/at-most-once.test.ts
+++ b/test/router/at-most-once.test.ts
@@ -27,8 +27,8 @@
   return harness;
 }
 
-describe('a not repeatable request', () => {
-  it('is not sent again once it may have been run', async () => {
+describe('a request that is not repeatable', () => {
+  it('is not sent again once it may have run', async () => {
     const harness = await startLosingReplies();
     const { status, error } = await harness.query(NOT_REPEATABLE);
     expect(status).toBe(504);
@@ -36,13 +36,13 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is seen to be run twice when it is treated as repeatable', async () => {
+  it('runs twice under the fault that treats it as repeatable', async () => {
     const harness = await startLosingReplies({ retryNotRepeatable: true });
     await harness.query(NOT_REPEATABLE);
     expect(startedCount(harness)).toBeGreaterThan(1);
   });
 
-  it('is not sent again when a retry after a rejection may have been run', async () => {
+  it('is not sent again when a retry after a rejection may have run', async () => {
     const harness = await RouterHarness.start({
       shards: 1,
       settings: { maximumAttemptsPerShard: 5 },
@@ -57,7 +57,7 @@
     expect(harness.attempts).toHaveLength(2);
   });
 
-  it('is sent to a sibling after a rejection and after a refused connection', async () => {
+  it('is sent to another replica after a rejection and after a refused connection', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 3 });
     shed(harness.backend('s0-r0'));
     harness.backend('s0-r1').down = true;
@@ -68,7 +68,7 @@
     expect(startedCount(harness)).toBe(4);
   });
 
-  it('gets a connection that has carried nothing before', async () => {
+  it('is sent on a connection that has carried no earlier request', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     await harness.query(NOT_REPEATABLE);
     await harness.query({ requestId: 'request-2' });
@@ -76,8 +76,8 @@
   });
 });
 
-describe('a resend of a not repeatable request', () => {
-  it('joins the first while it runs, and gets its outcome afterwards', async () => {
+describe('a resend of a request that is not repeatable', () => {
+  it('gets the outcome of the first request, both while it runs and after it has ended', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const both = [
       harness.send(NOT_REPEATABLE),
@@ -89,7 +89,7 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is answered before its own deadline when the first takes longer', async () => {
+  it('is answered before its own deadline when the first request takes longer', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     for (const backend of harness.backends.values()) backend.latency = 800;
     const first = harness.send(NOT_REPEATABLE);
@@ -102,7 +102,7 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('learns the outcome of a first try whose caller went away', async () => {
+  it('gets the outcome of a first request whose caller disconnected', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const gone = new AbortController();
     const first = harness.send(NOT_REPEATABLE, gone.signal);
@@ -112,14 +112,14 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('gets an unknown outcome again, without being run', async () => {
+  it('gets an unknown outcome again and does not run', async () => {
     const harness = await startLosingReplies();
     await harness.query(NOT_REPEATABLE);
     expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('outcome_unknown');
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is not run when its outcome is no longer kept', async () => {
+  it('does not run when the outcome is no longer stored', async () => {
     const limits = { maximumRecordedOutcomes: 1 };
     const harness = await RouterHarness.start({ shards: 1, limits });
     await harness.query(NOT_REPEATABLE);
@@ -129,7 +129,7 @@
     expect(startedCount(harness)).toBe(2);
   });
 
-  it('is run when the first was refused as not run', async () => {
+  it('runs when the first request was refused as not run', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     harness.backend('s0-r0').down = true;
     expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('refused_not_run');
@@ -137,7 +137,7 @@
     expect((await harness.query(NOT_REPEATABLE)).status).toBe(200);
   });
 
-  it('with another body is a bad request', async () => {
+  it('is a bad request when its body differs from the first', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     await harness.query(NOT_REPEATABLE);
     for (const other of [{ ...NOT_REPEATABLE, query: 'other' }, { repeatable: true }]) {
@@ -148,7 +148,7 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('marked as one is not run by a router that does not know the first', async () => {
+  it('does not run, when marked as a resend, on a router that does not know the first request', async () => {
     const [harness, other] = [await RouterHarness.start(), await RouterHarness.start()];
     const { answer } = await harness.query(NOT_REPEATABLE);
     const resend = { ...NOT_REPEATABLE, resend: true };
@@ -160,7 +160,7 @@
     expect((await other.query({ repeatable: true, resend: true })).status).toBe(200);
   });
 
-  it('is refused, not run, when no further id can be remembered', async () => {
+  it('is refused and does not run when no further request id can be stored', async () => {
     const limits = { maximumRecordedOutcomes: 1 };
     const harness = await RouterHarness.start({ shards: 1, limits });
     for (let number = 1; number <= 10; number += 1) {
@@ -174,8 +174,8 @@
   });
 });
 
-describe('"not run"', () => {
-  it('is said when every attempt was rejected or never sent', async () => {
+describe('the error for a request that did not run', () => {
+  it('is returned when every attempt was rejected or never sent', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const backend of harness.backends.values()) shed(backend);
     harness.backend('s1-r0').down = true;
@@ -186,7 +186,7 @@
     expect(startedCount(harness)).toBe(0);
   });
 
-  it('is not said when one attempt of any shard may have been run', async () => {
+  it('is not returned when one attempt at any shard may have run', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const backend of harness.backends.values()) shed(backend);
     for (const replica of ['s1-r0', 's1-r1']) loseReplies(harness.backend(replica));
@@ -194,7 +194,7 @@
     expect(error).toMatchObject({ code: 'insufficient_coverage', mayHaveRun: true });
   });
 
-  it('is not said of attempts cancelled in flight', async () => {
+  it('is not returned when attempts were cancelled in flight', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const replica of ['s0-r0', 's0-r1']) harness.backend(replica).latency = Infinity;
     for (const replica of ['s1-r0', 's1-r1']) harness.backend(replica).down = true;
@@ -203,7 +203,7 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is seen to be false when it is claimed after sending', async () => {
+  it('is returned, under the fault that claims it after sending, although attempts started', async () => {
     const harness = await startLosingReplies({ claimNotRunAfterSending: true });
     expect((await harness.query()).error.code).toBe('refused_not_run');
     expect(startedCount(harness)).toBeGreaterThan(0);
--- a/test/router/bad-input.test.ts
+++ b/test/router/bad-input.test.ts
@@ -5,7 +5,7 @@
 
 const PATH = `/v1/services/${SERVICE}/query`;
 const RUN = { seed: 20_261_202, numRuns: 300 };
-/** The back ends of the harness take 1 ms. */
+/** Only a shorter deadline may pass before the back ends answer, which takes them 1 ms. */
 const SHORT_DEADLINE_MS = 2;
 const VALID_REQUEST = { requestId: 'request-1', query: { term: 'snow' } };
 
@@ -20,7 +20,7 @@
   return metrics.reduce((count, { values }) => count + values.length, 0);
 }
 
-describe('a request that is wrong', () => {
+describe('an invalid request', () => {
   const wrong: Readonly<Record<string, [string, string | undefined]>> = {
     'an unknown key': [JSON.stringify({ ...VALID_REQUEST, dedline: 5 }), undefined],
     'a key that means the prototype': [
@@ -56,7 +56,7 @@
     nothing: ['', undefined],
   };
   for (const [name, [text, path]] of Object.entries(wrong)) {
-    it(`for ${name} is told so and sent nowhere`, async () => {
+    it(`with ${name} is rejected, with the path of the invalid field if any, and causes no attempt`, async () => {
       const harness = await RouterHarness.start();
       const { status, error } = await postText(harness, text);
       expect(status).toBe(400);
@@ -67,7 +67,7 @@
     });
   }
 
-  it('for a service, a path or a method that does not exist is told so', async () => {
+  it('for an unknown service, path or method is rejected with 404 or 405', async () => {
     const harness = await RouterHarness.start();
     const text = JSON.stringify(VALID_REQUEST);
     const unknown = await postText(harness, text, '/v1/services/no-such-service/query');
@@ -78,7 +78,7 @@
     expect(headers?.['allow']).toBe('POST');
   });
 
-  it('adds no series to the counters, whatever service it names', async () => {
+  it('adds no metric series, whatever service it names', async () => {
     const harness = await RouterHarness.start();
     const ask = (name: string): Promise<unknown> =>
       postText(harness, JSON.stringify(VALID_REQUEST), `/v1/services/${name}/query`);
@@ -90,7 +90,7 @@
     expect(await countMetricSeries(harness)).toBe(before);
   });
 
-  it('may be any bytes', async () => {
+  it('is rejected as a bad request for any random bytes', async () => {
     const harness = await RouterHarness.start();
     const property = fc.asyncProperty(fc.uint8Array({ maxLength: 200 }), async (bytes) => {
       const { status, error } = await postText(harness, bytes);
@@ -101,7 +101,7 @@
     expect(harness.attempts).toHaveLength(0);
   });
 
-  it('may have anything in any field; it is answered, or told which one is wrong', async () => {
+  it('with random values in its fields is answered or rejected with a typed error', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     const anything = fc.oneof(fc.jsonValue(), fc.double(), fc.constantFrom(1e-300, 1, 0.5, true));
     const request = fc.record(
--- a/test/router/concurrent-failures.test.ts
+++ b/test/router/concurrent-failures.test.ts
@@ -6,7 +6,7 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
-/** The promise that each switch breaks. */
+/** The guarantee that each fault switch violates. */
 const VIOLATED_GUARANTEES: Readonly<Partial<Record<keyof RouterFaults, string>>> = {
   mergeAcrossSnapshots: 'mixedSnapshot',
   skipReplyMatching: 'foreignReply',
@@ -17,7 +17,7 @@
 };
 
 describe('a crash during a publish', () => {
-  it('of the only holder of the new version makes a repeatable query plan on the old one', async () => {
+  it('of the only holder of the new version makes a repeatable query replan on the old version', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2'];
     const [holder, sibling] = [harness.backend('s0-r0'), harness.backend('s0-r1')];
@@ -33,7 +33,7 @@
     expect(sibling.started.map(({ snapshot }) => snapshot)).toEqual(['1.1']);
   });
 
-  it('leaves the outcome of a not repeatable request unknown, and runs it nowhere else', async () => {
+  it('leaves the outcome of a request that is not repeatable unknown, and runs it nowhere else', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     harness.backend('s0-r0').snapshots = ['1.1', '1.2'];
     await harness.clock.advance(1_000);
@@ -50,8 +50,8 @@
   });
 });
 
-describe('a planned stop while no source of settings is fresh', () => {
-  it('finishes what is in flight, and still tells resends their outcome', async () => {
+describe('a planned stop while the settings are stale', () => {
+  it('finishes the queries in flight and still answers resends with their outcome', async () => {
     const harness = await RouterHarness.start({ settings: { staleSettings: 'refuse' } });
     for (const backend of harness.backends.values()) backend.latency = 600;
     const first = harness.send({ repeatable: false });
@@ -71,8 +71,8 @@
   });
 });
 
-describe('a zone that is cut off while the rest of a shard drains', () => {
-  it('costs its shard and says so truthfully, until the zone is back', async () => {
+describe('a zone that is unreachable while the other replica of a shard drains', () => {
+  it('leaves the shard missing with its reason until the zone is reachable again', async () => {
     const settings = { requiredCoverage: 0.5, staleSettings: 'serve' } as const;
     const harness = await RouterHarness.start({ shards: 2, settings });
     const cut = [harness.backend('s0-r0'), harness.backend('s1-r0')];
@@ -108,9 +108,9 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-describe('failures that come together', () => {
+describe('concurrent failures', () => {
   for (const seed of SEEDS) {
-    it(`break no promise (seed ${seed})`, async () => {
+    it(`violate no guarantee (seed ${seed})`, async () => {
       const run = await FailureRun.run(seed);
       expect(findGuaranteeViolations(run)).toEqual({});
       const outcomes = run.queries.map(({ reply }) => reply.error?.code ?? 'answered');
@@ -121,20 +121,20 @@
     });
   }
 
-  it('come in runs that also hedge', async () => {
+  it('occur in runs that also send hedges', async () => {
     const runs = await Promise.all(SEEDS.slice(0, 3).map((seed) => FailureRun.run(seed)));
     expect(Math.max(...runs.map(countHedges))).toBeGreaterThan(0);
   });
 
-  for (const [name, promise] of Object.entries(VIOLATED_GUARANTEES)) {
-    it(`are seen to break "${promise}" with ${name}`, async () => {
-      const broken = await Promise.all(
+  for (const [name, guarantee] of Object.entries(VIOLATED_GUARANTEES)) {
+    it(`violate "${guarantee}" under the fault ${name}`, async () => {
+      const violations = await Promise.all(
         SEEDS.slice(0, 3).map(async (seed) => {
           const run = await FailureRun.run(seed, { [name]: true });
-          return findGuaranteeViolations(run)[promise] ?? 0;
+          return findGuaranteeViolations(run)[guarantee] ?? 0;
         }),
       );
-      expect(Math.max(...broken)).toBeGreaterThan(0);
+      expect(Math.max(...violations)).toBeGreaterThan(0);
     });
   }
 });
--- a/test/router/deadlines.test.ts
+++ b/test/router/deadlines.test.ts
@@ -2,7 +2,7 @@
 import { RouterHarness } from './support/router-harness.js';
 
 describe('deadlines', () => {
-  it('reach the back ends as the time left', async () => {
+  it('reach the back ends as the remaining time', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     harness.backend('s0-r0').tamper = (draft, entry) => {
       if (harness.backend('s0-r0').attempts[0] !== entry) return;
@@ -16,7 +16,7 @@
     expect(second?.deadlineMs).toBeLessThanOrEqual(145);
   });
 
-  it('end a query before the moment the answer is of no more use, and cancel the rest', async () => {
+  it('end a query before the deadline has passed, and cancel the remaining attempts', async () => {
     const harness = await RouterHarness.start({ shards: 2, settings: { requiredCoverage: 0.5 } });
     for (const replica of ['s1-r0', 's1-r1']) harness.backend(replica).latency = Infinity;
     const sentAt = harness.clock.now();
@@ -28,7 +28,7 @@
     expect(stuck.map(({ cancelled }) => cancelled)).toEqual([true]);
   });
 
-  it('are cut to the longest the service allows, and default to its own', async () => {
+  it('are limited to the maximum of the service, and default to its default', async () => {
     const settings = { maximumDeadlineMs: 400, defaultDeadlineMs: 100 };
     const harness = await RouterHarness.start({ shards: 1, replicas: 1, settings });
     await harness.query({ deadlineMs: 600_000 });
@@ -37,7 +37,7 @@
     expect(deadlines).toEqual([395, 95]);
   });
 
-  it('that passed before anything could be sent are refused as not run', async () => {
+  it('that pass before any attempt is sent end a query as refused and not run', async () => {
     const harness = await RouterHarness.start({
       shards: 1,
       replicas: 1,
@@ -54,8 +54,8 @@
   });
 });
 
-describe('a query that cannot succeed any more', () => {
-  it('is answered at once, with when to come back', async () => {
+describe('a query that can no longer succeed', () => {
+  it('is answered at once, with a retry time', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     for (const replica of ['s0-r0', 's0-r1']) harness.backend(replica).down = true;
     for (const replica of ['s1-r0', 's1-r1']) harness.backend(replica).latency = Infinity;
@@ -68,7 +68,7 @@
     expect(stuck.every(({ cancelled }) => cancelled)).toBe(true);
   });
 
-  it('fails with a clear error once the answer grows too large', async () => {
+  it('fails with an error that names the setting once the answer is too large', async () => {
     const settings = { maximumAnswerBytes: 1_024 };
     const harness = await RouterHarness.start({ shards: 2, settings });
     for (const backend of harness.backends.values()) {
@@ -84,7 +84,7 @@
 describe('replies that arrive slowly', () => {
   const settings = { maximumAnswerBytes: 1_024 };
 
-  it('hold no more memory than two answers, and end the query once they would', async () => {
+  it('end the query once they take more memory than two answers', async () => {
     const harness = await RouterHarness.start({ shards: 8, settings });
     for (const backend of harness.backends.values()) {
       backend.latency = Infinity;
@@ -98,7 +98,7 @@
     expect(harness.attempts.length).toBeLessThan(8);
   });
 
-  it('give their memory back when they fail', async () => {
+  it('release their memory when they fail', async () => {
     const harness = await RouterHarness.start({
       shards: 1,
       replicas: 1,
@@ -115,7 +115,7 @@
   });
 });
 
-describe('a caller that is gone', () => {
+describe('a caller that disconnects', () => {
   it('has its attempts cancelled', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const backend of harness.backends.values()) backend.latency = Infinity;
@@ -132,8 +132,8 @@
   });
 });
 
-describe('connections of one replica', () => {
-  it('are not exceeded; further attempts wait for one', async () => {
+describe('the connections of one replica', () => {
+  it('are not exceeded; further attempts wait for a free connection', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1, connections: 16 });
     const backend = harness.backend('s0-r0');
     backend.latency = 10;
--- a/test/router/drain.test.ts
+++ b/test/router/drain.test.ts
@@ -14,9 +14,9 @@
   harness.source.publishSign({ replicaId: 's0-r0', incarnation, state, observedBy: OBSERVER });
 }
 
-describe('a leaving replica', () => {
+describe('a draining or gone replica', () => {
   for (const state of ['draining', 'gone'] as const) {
-    it(`gets no new work after a sign that it is ${state}`, async () => {
+    it(`gets no new attempt after a sign that it is ${state}`, async () => {
       const harness = await RouterHarness.start({ shards: 1 });
       publishSign(harness, state);
       await queryMany(harness);
@@ -24,7 +24,7 @@
     });
   }
 
-  it('is noticed by its report within a second, and told to others', async () => {
+  it('is detected by its report within a second, and the sign is reported to the source', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const backend = harness.backend('s0-r0');
     backend.draining = true;
@@ -36,7 +36,7 @@
     ]);
   });
 
-  it('is noticed by the first reply that says so', async () => {
+  it('is detected by the first reply that says that it drains', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     const backend = harness.backend('s0-r0');
     backend.draining = true;
@@ -45,7 +45,7 @@
     expect(harness.source.reported).toHaveLength(1);
   });
 
-  it('is not revived by reports or signs of the same incarnation', async () => {
+  it('gets no attempt again after reports or live signs of the same incarnation', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     publishSign(harness, 'draining');
     publishSign(harness, 'live');
@@ -54,7 +54,7 @@
     expect(harness.backend('s0-r0').attempts).toHaveLength(0);
   });
 
-  it('is revived by a new incarnation, and by no sign of the former one', async () => {
+  it('gets attempts again with a new incarnation, despite later signs of the former one', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     publishSign(harness, 'gone');
     harness.backend('s0-r0').incarnation = 2;
@@ -64,7 +64,7 @@
     expect(harness.backend('s0-r0').attempts.length).toBeGreaterThan(0);
   });
 
-  it('is remembered before the configuration names it', async () => {
+  it('gets no attempt when its sign came before the configuration that names it', async () => {
     const harness = await RouterHarness.start({ shards: 1, withoutConfiguration: true });
     publishSign(harness, 'draining');
     const other = await RouterHarness.start({ shards: 1 });
@@ -76,7 +76,7 @@
     expect(harness.backend('s0-r1').attempts.length).toBeGreaterThan(0);
   });
 
-  it('is seen to get work when signs are ignored', async () => {
+  it('gets attempts under the fault that ignores signs', async () => {
     const harness = await RouterHarness.start({ shards: 1, faults: { ignoreDrain: true } });
     publishSign(harness, 'draining');
     await queryMany(harness);
@@ -84,8 +84,8 @@
   });
 });
 
-describe('a replica whose reports do not arrive', () => {
-  it('keeps its work after one that was missed, and is a last resort after several', async () => {
+describe('a replica whose reports are lost', () => {
+  it('still gets attempts after one missed report, and is a last resort after several', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const backend = harness.backend('s0-r0');
     backend.dropsReports = true;
--- a/test/router/membership.test.ts
+++ b/test/router/membership.test.ts
@@ -2,7 +2,7 @@
 import { BackendHeader } from '../../src/model/backend-protocol.js';
 import { createLayout, createState, RouterHarness, type Reply } from './support/router-harness.js';
 
-/** Connections of which one router's share is one attempt at a time. */
+/** Connections of a replica of which one router's share is a single connection. */
 const CONNECTIONS_FOR_ONE_ATTEMPT = 16;
 
 function publishGone(harness: RouterHarness): void {
@@ -32,7 +32,7 @@
     return replies.map(({ error }) => error?.code);
   }
 
-  it('all end at once when the reply before them says that the replica is leaving', async () => {
+  it('all end at once when an earlier reply says that the replica is draining', async () => {
     const { harness, queries } = await startWaiting('true');
     const before = harness.clock.now();
     const replies = await harness.clock.runUntil(Promise.all(queries));
@@ -40,7 +40,7 @@
     expect(harness.clock.now() - before).toBe(10);
   });
 
-  it('may be as many as a layout has shards, without a warning', async () => {
+  it('cause no runtime warning when there is one for each of 24 shards', async () => {
     const warnings: string[] = [];
     const onWarning = ({ name }: Error): void => void warnings.push(name);
     process.on('warning', onWarning);
@@ -68,8 +68,8 @@
   });
 });
 
-describe('slots of a replica', () => {
-  it('are never exceeded by one router, hedges and retries included', async () => {
+describe('the slots of a replica', () => {
+  it('are never exceeded by one router, including hedges and retries', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 2, connections: 400 });
     for (const backend of harness.backends.values()) backend.latency = 30;
     const queries = Array.from({ length: 40 }, (_, index) =>
@@ -86,10 +86,10 @@
   });
 });
 
-describe('what a replica says of itself', () => {
+describe('the state that a replica reports', () => {
   const absurd = ['1.5', '-1', '99999999999999999', 'NaN', '1e3', ''];
   for (const incarnation of absurd) {
-    it(`is not believed when its incarnation is "${incarnation}"`, async () => {
+    it(`in a reply is ignored when the incarnation is "${incarnation}"`, async () => {
       const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
       harness.backend('s0-r0').tamper = ({ headers }) => {
         headers[BackendHeader.Incarnation] = incarnation;
@@ -102,7 +102,7 @@
   }
 
   for (const incarnation of [1.5, 1e300, -1]) {
-    it(`in a report is not believed when its incarnation is ${incarnation}`, async () => {
+    it(`in a report is ignored when the incarnation is ${incarnation}`, async () => {
       const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
       const backend = harness.backend('s0-r0');
       backend.incarnation = incarnation;
@@ -113,8 +113,8 @@
   }
 });
 
-describe('a replica that left', () => {
-  it('does not come back to life by being taken out of the configuration and in again', async () => {
+describe('a replica that is gone', () => {
+  it('gets no attempt again after its removal from the configuration and its return', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const { source } = harness;
     publishGone(harness);
@@ -122,7 +122,7 @@
     const without = createLayout(1, { shards: 1, replicas: 1 });
     const [shard] = without.shards;
     const kept = whole.shards[0]?.replicas.slice(1) ?? [];
-    if (shard === undefined) throw new Error('no shard');
+    if (shard === undefined) throw new Error('the layout has no shard');
     source.publish(createState(2, {}, [{ ...without, shards: [{ ...shard, replicas: kept }] }]));
     await harness.clock.advance(1_000);
     source.publish(createState(3, {}, [whole]));
@@ -136,7 +136,7 @@
 });
 
 describe('a replica that does not report', () => {
-  it('gets no new work 3 s after the first report it missed, while a sibling reports', async () => {
+  it('gets no new attempt 3 s after its first missed report, while another replica reports', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const backend = harness.backend('s0-r0');
     backend.dropsReports = true;
--- a/test/router/plan-cache.test.ts
+++ b/test/router/plan-cache.test.ts
@@ -2,7 +2,7 @@
 import { PlanCache } from '../../src/router/plan-cache.js';
 
 describe('PlanCache', () => {
-  it('chooses once for each coverage, and anew when something has changed', () => {
+  it('chooses once for each coverage, and again for a new generation', () => {
     const cache = new PlanCache();
     let chosen = 0;
     const choose = (): undefined => void (chosen += 1);
@@ -11,7 +11,7 @@
     expect(chosen).toBe(3);
   });
 
-  it('stays small whatever coverages callers ask for', () => {
+  it('stays small for any number of different coverages', () => {
     const cache = new PlanCache();
     let largest = 0;
     for (let number = 0; number < 10_000; number += 1) {
--- a/test/router/planned-stop.test.ts
+++ b/test/router/planned-stop.test.ts
@@ -10,7 +10,7 @@
 }
 
 describe('a planned stop', () => {
-  it('answers what is in flight, in full, before it resolves', async () => {
+  it('answers the query in flight with full coverage before it resolves', async () => {
     const { harness, inFlight } = await startWithSlowQuery();
     let answered = false;
     void inFlight.then(() => (answered = true));
@@ -22,13 +22,13 @@
     expect(harness.network.listening).toBe(false);
   });
 
-  it('is seen to cut queries off when it does not wait', async () => {
+  it('cuts off the query in flight under the fault that does not wait', async () => {
     const { harness, inFlight } = await startWithSlowQuery({ cutInFlightAtStop: true });
     await harness.clock.runUntil(harness.daemon.stop());
     expect((await inFlight).status).not.toBe(200);
   });
 
-  it('takes no new work, says when to come back, and lets connections go', async () => {
+  it('turns readiness off, refuses new queries with a retry time and closes their connections', async () => {
     const { harness, inFlight } = await startWithSlowQuery();
     const stopped = harness.daemon.stop();
     expect((await harness.get('/readyz')).status).toBe(503);
@@ -42,7 +42,7 @@
     await harness.clock.runUntil(Promise.all([stopped, inFlight]));
   });
 
-  it('waits for a not repeatable request whose caller is gone', async () => {
+  it('waits for a request that is not repeatable after its caller disconnected', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     for (const backend of harness.backends.values()) backend.latency = 600;
     const gone = new AbortController();
@@ -53,9 +53,9 @@
     expect((await query).status).toBe(200);
   });
 
-  /** Ways to be in the middle of something; each leaves `send` unanswered for a while. */
+  /** Phases in which the stop finds a query; each keeps the query in flight for a while. */
   const phases: Readonly<Record<string, [HarnessOptions, (harness: RouterHarness) => void]>> = {
-    // The adaptive policy refuses a wait as long as the latency of this test.
+    // The adaptive policy would refuse to queue for as long as this test's latency.
     'waiting to be admitted': [
       { settings: { admission: 'bounded', maximumInFlight: 1 } },
       (harness) => harness.send({}),
@@ -107,14 +107,14 @@
       expect((await query).status).toBe(200);
     });
 
-    it(`is seen to cut off a query that is ${phase} when it does not wait`, async () => {
+    it(`cuts off a query that is ${phase} under the fault that does not wait`, async () => {
       const [harness, query] = await start({ cutInFlightAtStop: true });
       await harness.clock.runUntil(harness.daemon.stop());
       expect((await query).status).not.toBe(200);
     });
   }
 
-  it('ends all polls', async () => {
+  it('ends all polling of replicas', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     await harness.clock.runUntil(harness.daemon.stop());
     expect(harness.clock.pendingTimers).toBe(0);
--- a/test/router/query.test.ts
+++ b/test/router/query.test.ts
@@ -2,7 +2,7 @@
 import { RouterHarness } from './support/router-harness.js';
 
 describe('a query', () => {
-  it('asks one replica of every shard and merges their replies in layout order', async () => {
+  it('queries one replica of every shard and merges the replies in layout order', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     const { status, answer } = await harness.query();
     expect(status).toBe(200);
--- a/test/router/reply-matching.test.ts
+++ b/test/router/reply-matching.test.ts
@@ -4,7 +4,7 @@
 import type { ReplyDraft } from './support/fake-backend.js';
 import { RouterHarness } from './support/router-harness.js';
 
-/** Replies that are not the attempt's own, by the reason they are counted under. */
+/** Changes that make a reply unusable for its attempt, by the reason under which it is counted. */
 const FOREIGN_REPLIES: Readonly<Record<string, (draft: ReplyDraft) => void>> = {
   foreign_request: ({ headers }) => void (headers[BackendHeader.RequestId] = 'another'),
   foreign_attempt: ({ headers }) => void (headers[BackendHeader.AttemptId] = 'an-earlier-one'),
@@ -44,7 +44,7 @@
 
 describe('reply matching', () => {
   for (const [reason, tamper] of Object.entries(FOREIGN_REPLIES)) {
-    it(`counts and drops a reply for ${reason}, and never merges it`, async () => {
+    it(`drops and counts a reply for ${reason}, and never merges it`, async () => {
       const harness = await startWithForeignReply(tamper);
       const reply = await harness.query();
       expect(reply.status).toBe(200);
@@ -52,7 +52,7 @@
       expect(await droppedReplies(harness)).toEqual({ [reason]: 1 });
     });
 
-    it(`takes a reply dropped for ${reason} as one that may have been run`, async () => {
+    it(`treats a request whose reply is dropped for ${reason} as one that may have run`, async () => {
       const harness = await startWithForeignReply(tamper);
       const { status, error } = await harness.query({ repeatable: false });
       expect(status).toBe(504);
@@ -61,7 +61,7 @@
     });
   }
 
-  it('does not believe a not-started mark that belongs to another attempt', async () => {
+  it('ignores the disposition not_started in the reply to another attempt', async () => {
     const harness = await startWithForeignReply((draft) => {
       draft.headers[BackendHeader.AttemptId] = 'an-earlier-one';
       draft.headers[BackendHeader.Disposition] = 'not_started';
@@ -70,7 +70,7 @@
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
   });
 
-  it('is seen to be broken when replies are not matched', async () => {
+  it('merges a foreign reply under the fault that skips the matching', async () => {
     const tamper = FOREIGN_REPLIES['foreign_attempt'] ?? (() => undefined);
     const harness = await startWithForeignReply(tamper, { skipReplyMatching: true });
     const { answer } = await harness.query();
--- a/test/router/settings.test.ts
+++ b/test/router/settings.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { createState, RouterHarness } from './support/router-harness.js';
 
-describe('settings in force', () => {
-  it('refuses before the first configuration and is not ready', async () => {
+describe('the settings of a router', () => {
+  it('are missing before the first configuration: the router is not ready and refuses queries', async () => {
     const harness = await RouterHarness.start({ withoutConfiguration: true });
     expect((await harness.get('/readyz')).status).toBe(503);
     const { status, error } = await harness.query();
@@ -14,7 +14,7 @@
     expect((await harness.query()).answer.settingsRevision).toBe(3);
   });
 
-  it('never goes back to an earlier revision', async () => {
+  it('never go back to an earlier revision', async () => {
     const harness = await RouterHarness.start();
     harness.source.publish(createState(5, { settings: { requiredCoverage: 0.5 } }));
     harness.source.publish(createState(4, { settings: { requiredCoverage: 0.25 } }));
@@ -23,7 +23,7 @@
     expect(answer.coverage.required).toBe(0.5);
   });
 
-  it('holds a query to the revision it was received under', async () => {
+  it('stay, for a query in flight, those of the revision at its receipt', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const backend of harness.backends.values()) backend.latency = 100;
     const query = harness.send({});
@@ -34,7 +34,7 @@
     expect(answer.coverage.required).toBe(1);
   });
 
-  it('that are stale are refused or served as the service says', async () => {
+  it('refuse or serve queries while stale, as the service is configured', async () => {
     const refusing = await RouterHarness.start({ settings: { staleSettings: 'refuse' } });
     const serving = await RouterHarness.start({ settings: { staleSettings: 'serve' } });
     for (const harness of [refusing, serving]) harness.source.fresh = false;
--- a/test/router/shard-execution.test.ts
+++ b/test/router/shard-execution.test.ts
@@ -23,18 +23,18 @@
 import { VirtualClock } from './support/virtual-clock.js';
 
 const HEDGE_DELAY_MS = 20;
-/** Node warns of more than ten listeners on one signal unless told of them. */
+/** Node warns about more than ten listeners on one signal unless the limit is raised. */
 const SHARDS_BEYOND_DEFAULT_LISTENERS = 12;
 
-/** One execution over fake back ends, with policies that a test writes itself. */
+/** One query execution over fake back ends, with hedge and completion policies set by the test. */
 class ExecutionHarness {
   readonly clock = new VirtualClock();
   readonly tally = new AttemptTally();
   readonly backends: FakeBackend[] = [];
   hedgesLeft = 1;
-  /** Milliseconds to wait once coverage suffices. */
+  /** Further wait once coverage suffices. Milliseconds. */
   furtherWait = Infinity;
-  /** What the completion policy was told. Milliseconds. */
+  /** Times that the completion policy recorded for replies and for unfinished shards. Milliseconds. */
   readonly recordedReplies: number[] = [];
   readonly recordedUnfinished: number[] = [];
   readonly registry: ReplicaRegistry;
@@ -63,7 +63,7 @@
     this.router = { environment, registry, identifiers, metrics, faults };
     const settings = { ...DEFAULT_SERVICE_SETTINGS, requiredCoverage };
     const definition = createState(1, options).services[SERVICE];
-    if (definition === undefined) throw new Error('no service');
+    if (definition === undefined) throw new Error('the state has no service');
     this.service = new ServiceRuntime(1, definition, settings, this.policies(), registry);
   }
 
@@ -83,7 +83,7 @@
     };
     const request = { requiredCoverage, key: undefined, excluded: new Set<string>() };
     const plan = this.service.planner.plan(request);
-    if (plan === undefined) throw new Error('no plan');
+    if (plan === undefined) throw new Error('the planner found no plan');
     const execution = new QueryExecution(this.router, query, plan, this.tally);
     return this.clock.runUntil(execution.run(new AbortController().signal));
   }
@@ -116,12 +116,12 @@
 
 function firstBackend(harness: ExecutionHarness): FakeBackend {
   const [first] = harness.backends;
-  if (first === undefined) throw new Error('no back end');
+  if (first === undefined) throw new Error('the harness has no back end');
   return first;
 }
 
 describe('a hedge', () => {
-  it('goes to a sibling after the delay; the loser is cancelled at once', async () => {
+  it('goes to another replica after the delay, and its reply cancels the first attempt at once', async () => {
     const harness = new ExecutionHarness(2);
     firstBackend(harness).latency = Infinity;
     for (const backend of harness.backends.slice(2)) backend.latency = 100;
@@ -133,7 +133,7 @@
     expect(firstBackend(harness).attempts[0]?.cancelledAt).toBe(50 + HEDGE_DELAY_MS + 1);
   });
 
-  it('leaves the loser known to take at least as long as it was waited for', async () => {
+  it('makes the elapsed time of the cancelled attempt the latency estimate of its replica', async () => {
     const harness = new ExecutionHarness(1);
     const slow = firstBackend(harness);
     slow.latency = Infinity;
@@ -142,7 +142,7 @@
     expect(record?.smoothedLatency).toBe(HEDGE_DELAY_MS + 1);
   });
 
-  it('is not sent when the first attempt is quick, or the budget is spent', async () => {
+  it('is not sent when the first attempt is fast or the budget is spent', async () => {
     const quick = new ExecutionHarness(1);
     firstBackend(quick).latency = HEDGE_DELAY_MS - 1;
     await quick.run();
@@ -161,7 +161,7 @@
     expect(attemptCounts(harness)).toEqual([1, 0]);
   });
 
-  it('that fails leaves the first attempt its chance', async () => {
+  it('does not end the first attempt when the hedge fails', async () => {
     const harness = new ExecutionHarness(1);
     firstBackend(harness).latency = 100;
     const [, second] = harness.backends;
@@ -172,7 +172,7 @@
 });
 
 describe('the completion policy', () => {
-  it('ends the wait for the rest once coverage suffices', async () => {
+  it('ends the wait for the remaining shards once coverage suffices', async () => {
     const harness = new ExecutionHarness(2, 0.5);
     harness.hedgesLeft = 0;
     harness.furtherWait = 30;
@@ -189,7 +189,7 @@
 });
 
 describe('a query of many shards', () => {
-  it('waits for connections without a warning of the runtime', async () => {
+  it('waits for connections without a warning from the runtime', async () => {
     const warnings: string[] = [];
     const onWarning = ({ name }: Error): void => void warnings.push(name);
     process.on('warning', onWarning);
--- a/test/router/single-server.test.ts
+++ b/test/router/single-server.test.ts
@@ -7,7 +7,7 @@
 }
 
 describe('a single-server service', () => {
-  it('asks one replica and states the coverage of its only shard', async () => {
+  it('queries one replica and reports the coverage of its only shard', async () => {
     const harness = await startSingle();
     const { answer } = await harness.query();
     expect(harness.attempts).toHaveLength(1);
@@ -15,12 +15,12 @@
     expect(answer.results).toHaveLength(1);
   });
 
-  it('takes a key, which changes nothing', async () => {
+  it('accepts a key, which has no effect', async () => {
     const harness = await startSingle();
     expect((await harness.query({ key: 'any' })).answer.coverage.fraction).toBe(1);
   });
 
-  it('fails at once, and says when to come back, once no attempt is left', async () => {
+  it('fails at once, with a retry time, when no attempt is left', async () => {
     const settings = { maximumAttemptsPerShard: 2 };
     const harness = await startSingle({ settings });
     for (const backend of harness.backends.values()) {
@@ -43,7 +43,7 @@
     expect(error).toMatchObject({ code: 'failed', mayHaveRun: true });
   });
 
-  it('leaves the outcome of a not repeatable request unknown when its reply is lost', async () => {
+  it('leaves the outcome of a request that is not repeatable unknown when its reply is lost', async () => {
     const harness = await startSingle();
     for (const backend of harness.backends.values()) {
       backend.tamper = (draft) => {
@@ -58,8 +58,8 @@
   });
 });
 
-describe('a request aimed by key', () => {
-  it('that is not repeatable runs at one replica of one shard, and no other shard hears of it', async () => {
+describe('a request with a key', () => {
+  it('runs at one replica of one shard, and no other shard gets an attempt, when it is not repeatable', async () => {
     const harness = await RouterHarness.start({ shards: 4 });
     const { answer } = await harness.query({ key: 'family-17', repeatable: false });
     expect(answer.coverage.reached).toHaveLength(1);
@@ -67,7 +67,7 @@
     expect(harness.attempts).toEqual([expect.objectContaining({ started: true })]);
   });
 
-  it('goes to the same shard each time, and fails when that shard is lost', async () => {
+  it('goes to the same shard each time, and fails when that shard is down', async () => {
     const harness = await RouterHarness.start({ shards: 4, settings: { requiredCoverage: 0.5 } });
     const [shard] = (await harness.query({ key: 'family-17' })).answer.coverage.reached;
     const number = shard?.slice('shard-'.length) ?? '';
--- a/test/router/snapshots.test.ts
+++ b/test/router/snapshots.test.ts
@@ -2,7 +2,7 @@
 import { createLayout, createState, RouterHarness } from './support/router-harness.js';
 import type { Reply } from './support/router-harness.js';
 
-/** Snapshots that the results of an answer were really drawn from. */
+/** Distinct snapshots that the back ends used for the results of an answer. */
 function snapshotsOf(reply: Reply): string[] {
   const results = reply.answer.results.map(({ result }) => result as { snapshot: string });
   return [...new Set(results.map(({ snapshot }) => snapshot))];
@@ -17,8 +17,8 @@
   return harness;
 }
 
-describe('one snapshot an answer', () => {
-  it('draws from the newest snapshot that every shard holds', async () => {
+describe('the snapshot of an answer', () => {
+  it('is the newest one that every shard holds', async () => {
     const harness = await startHalfPublished();
     expect(snapshotsOf(await harness.query())).toEqual(['1.1']);
     harness.backend('s2-r1').snapshots = ['1.1', '1.2'];
@@ -28,12 +28,12 @@
     expect(reply.answer.snapshot).toEqual({ layoutEpoch: 1, indexVersion: 2 });
   });
 
-  it('is seen to be broken when each replica is asked for its own newest', async () => {
+  it('is not the same for all shards under the fault that merges across snapshots', async () => {
     const harness = await startHalfPublished({ mergeAcrossSnapshots: true });
     expect(snapshotsOf(await harness.query())).toHaveLength(2);
   });
 
-  it('takes an older layout when the newest one is not held everywhere', async () => {
+  it('is of an older layout while not every shard holds the newest layout', async () => {
     const harness = await startHalfPublished();
     const [old, next] = [createLayout(1, { shards: 3 }), createLayout(2, { shards: 2 })];
     harness.backend('s0-r0').snapshots.push('2.2');
@@ -49,7 +49,7 @@
     expect(after.answer.coverage.reached).toEqual(['shard-0', 'shard-1']);
   });
 
-  it('settles for the newest held by enough shards when none is held by all', async () => {
+  it('is the newest one held by enough shards when none is held by all', async () => {
     const harness = await RouterHarness.start({ shards: 3, settings: { requiredCoverage: 0.6 } });
     harness.backend('s2-r0').snapshots = [];
     harness.backend('s2-r1').snapshots = [];
@@ -59,7 +59,7 @@
     expect(answer.coverage.missing).toEqual([{ shardId: 'shard-2', reason: 'snapshot_not_held' }]);
   });
 
-  it('prefers a snapshot that every shard holds to a newer one that suffices', async () => {
+  it('is one that every shard holds rather than a newer one that suffices', async () => {
     const harness = await RouterHarness.start({ shards: 3, settings: { requiredCoverage: 0.6 } });
     for (const replica of ['s0-r0', 's1-r0']) harness.backend(replica).snapshots.push('1.2');
     await harness.clock.advance(1_000);
@@ -68,7 +68,7 @@
     expect(reply.answer.coverage.missing).toEqual([]);
   });
 
-  it('plans afresh once when the snapshot vanished after the plan', async () => {
+  it('is replanned when no replica of a shard holds the planned snapshot any more', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2'];
     await harness.clock.advance(1_000);
@@ -80,7 +80,7 @@
     expect(reply.answer.attempts.primary).toBe(6);
   });
 
-  it('asks every sibling for the snapshot, without charging the retry budget', async () => {
+  it('is requested from every replica of a shard without charging the retry budget', async () => {
     const settings = { retryBudgetPercent: 0, maximumAttemptsPerShard: 4 };
     const harness = await RouterHarness.start({ shards: 3, replicas: 4, settings });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2'];
@@ -94,7 +94,7 @@
     }
   });
 
-  it('plans afresh only once, and shares nothing between the tries', async () => {
+  it('is replanned only once, and the two executions share no attempt', async () => {
     const settings = { requiredCoverage: 0.6 };
     const harness = await RouterHarness.start({ shards: 3, replicas: 1, settings });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2', '1.3'];
@@ -109,7 +109,7 @@
     expect(new Set(attempts.map(({ attemptId }) => attemptId)).size).toBe(6);
   });
 
-  it('plans afresh on another snapshot, even where the first would still suffice', async () => {
+  it('is another one after replanning, even when the first would still suffice', async () => {
     const settings = { requiredCoverage: 0.6, maximumAttemptsPerShard: 1 };
     const harness = await RouterHarness.start({ shards: 3, replicas: 1, settings });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2'];
@@ -124,7 +124,7 @@
     expect(reply.answer.coverage.reached).toEqual(['shard-0', 'shard-1']);
   });
 
-  it('does not plan afresh when the snapshot is not what is missing', async () => {
+  it('is not replanned when the shard is missing for another reason', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2'];
     await harness.clock.advance(1_000);
@@ -138,7 +138,7 @@
     expect(new Set(attempts.map(({ snapshot }) => snapshot))).toEqual(new Set(['1.2']));
   });
 
-  it('does not plan a not repeatable request afresh', async () => {
+  it('is not replanned for a request that is not repeatable', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2'];
     await harness.clock.advance(1_000);
@@ -148,7 +148,7 @@
     expect(harness.attempts.filter(({ started }) => started)).toHaveLength(2);
   });
 
-  it('asks the one shard that holds the key', async () => {
+  it('is requested from only the one shard that holds the key', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     const asked = new Set<string>();
     for (const key of ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h']) {
@@ -181,7 +181,7 @@
     expect(answer.results.map(({ shardId }) => shardId)).toEqual(['shard-0', 'shard-2']);
   });
 
-  it('is seen to be false when unreached shards are claimed', async () => {
+  it('lists shards without a result under the fault that claims unreached shards', async () => {
     const faults = { claimUnreachedShard: true };
     const harness = await RouterHarness.start({ shards: 4, replicas: 1, settings, faults });
     harness.backend('s1-r0').down = true;
@@ -190,7 +190,7 @@
     expect(answer.results).toHaveLength(3);
   });
 
-  it('can be made stricter by the request, not looser', async () => {
+  it('can be raised by the request, but not lowered', async () => {
     const harness = await RouterHarness.start({ shards: 4, replicas: 1, settings });
     harness.backend('s1-r0').down = true;
     expect((await harness.query({ requiredCoverage: 0.1 })).answer.coverage.required).toBe(0.5);
--- a/test/router/support/failure-run.ts
+++ b/test/router/support/failure-run.ts
@@ -1,6 +1,6 @@
 /**
- * One router under failures that come together, drawn from a seed in virtual
- * time, while callers send and send again.
+ * Runs one router in virtual time under random concurrent failures, determined by a seed,
+ * while callers send queries and resends.
  */
 import { HttpClientError } from '../../../src/errors/http-client-error.js';
 import { BackendHeader } from '../../../src/model/backend-protocol.js';
@@ -22,30 +22,30 @@
   hedgeBudgetPercent: 20,
 };
 
-/** A query as its caller saw it. */
+/** A query with the reply that its caller got. */
 export interface SentQuery {
   readonly requestId: string;
   readonly repeatable: boolean;
-  /** In force when it was sent. */
+  /** Settings revision when the query was sent. */
   readonly revision: number;
   readonly reply: Reply;
 }
 
-/** When a replica's process began to leave. */
+/** The time at which an incarnation of a replica began to drain. */
 export interface Departure {
   readonly replicaId: string;
   readonly incarnation: number;
   readonly at: number;
 }
 
-/** The reply to another caller's attempt at the same shard and snapshot. */
+/** Replaces a reply by the reply to another caller's attempt at the same shard and snapshot. */
 function replaceWithForeignReply(draft: ReplyDraft): void {
   draft.headers[BackendHeader.AttemptId] = 'another';
   const result = JSON.parse(draft.body) as object;
   draft.body = JSON.stringify({ ...result, requestId: 'another-caller~1' });
 }
 
-/** Everything that was seen from outside the router. */
+/** One run, with everything observed from outside the router. */
 export class FailureRun {
   readonly queries: SentQuery[] = [];
   readonly departures: Departure[] = [];
@@ -112,7 +112,7 @@
     );
   }
 
-  /** Replicas take the next version over one by one and drop the oldest, some too early. */
+  /** Replicas load the next version one by one and drop the oldest, some of them too early. */
   private publish(): void {
     this.version += 1;
     for (const { layoutEpoch } of this.layouts) {
@@ -166,14 +166,14 @@
     this.scheduleWithin(300, () => (backend.latency = 1));
   }
 
-  /** A source that lags, and says that a process lives which may be leaving. */
+  /** Publishes a delayed sign that a process is live which may already be draining. */
   private publishOutdatedSign({ replicaId, incarnation }: FakeBackend): void {
     const old = Math.max(1, incarnation - this.random.nextInteger(0, 1));
     const sign = { replicaId, incarnation: old, state: 'live', observedBy: 'platform' } as const;
     this.harness.source.publishSign(sign);
   }
 
-  /** A few replies go wrong in every way there is. */
+  /** Makes a small fraction of replies fail: lost, foreign, not started, failed, malformed or never sent. */
   private injectReplyFailure(draft: ReplyDraft, backend: FakeBackend): void {
     const chance = this.random.nextFloat();
     draft.latency += this.random.nextInteger(0, 10);
@@ -191,7 +191,7 @@
 
   private pick<T>(from: readonly T[]): T {
     const chosen = from[this.random.nextInteger(0, from.length - 1)];
-    if (chosen === undefined) throw new Error('nothing to choose from');
+    if (chosen === undefined) throw new Error('cannot pick from an empty list');
     return chosen;
   }
 }
--- a/test/router/support/fake-backend.ts
+++ b/test/router/support/fake-backend.ts
@@ -1,4 +1,4 @@
-/** A back end in memory that keeps a ledger and does as a test tells it. */
+/** A back end in memory that records every attempt and whose replies a test controls. */
 import { HttpClientError } from '../../../src/errors/http-client-error.js';
 import {
   BACKEND_REPORT_PATH,
@@ -8,10 +8,10 @@
 import type { HttpClientRequest, HttpClientResponse } from '../../../src/seams/http.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** One attempt as the back end saw it. */
+/** One attempt as the back end received it. */
 export interface RecordedAttempt {
   readonly requestId: string;
-  /** Of the process that got it. */
+  /** Incarnation of the back end that received the attempt. */
   readonly incarnation: number;
   readonly attemptId: string;
   readonly shardId: string;
@@ -25,10 +25,10 @@
   cancelledAt?: number;
 }
 
-/** A reply in the making; a test may change anything about it. */
+/** A reply before it is sent; a test may change any part of it. */
 export interface ReplyDraft {
   disposition: BackendDisposition;
-  /** Milliseconds until the reply is whole; Infinity for never. */
+  /** Milliseconds until the reply is complete; Infinity for never. */
   latency: number;
   headers: Record<string, string>;
   body: string;
@@ -40,12 +40,12 @@
   incarnation = 1;
   draining = false;
   snapshots: string[] = ['1.1'];
-  /** Connections are refused. */
+  /** True while the back end refuses connections. */
   down = false;
-  /** Reports do not arrive, queries do. */
+  /** True while the back end leaves polls for its report unanswered; it still serves queries. */
   dropsReports = false;
   latency = 1;
-  /** Bytes of a reply's body that arrive at once, long before the rest. */
+  /** Bytes of a reply's body that arrive at once, before the latency of the rest. */
   bytesAtOnce = 0;
   readonly attempts: RecordedAttempt[] = [];
   /** Changes a reply before it is sent. */
@@ -80,7 +80,7 @@
     return { status: 200, headers: draft.headers, body: Buffer.from(draft.body) };
   }
 
-  /** Loses whatever is in flight and accepts nothing until {@link restart}. */
+  /** Loses the attempts in flight and refuses connections until {@link restart}. */
   crash(): void {
     this.down = true;
     const { crashCallbacks: callbacks } = this;
@@ -88,7 +88,7 @@
     for (const fail of callbacks) fail();
   }
 
-  /** A new process, which has what the former one had on disk. */
+  /** Starts a new incarnation, which holds the snapshots of the former one. */
   restart(): void {
     this.incarnation += 1;
     this.draining = false;
--- a/test/router/support/fake-configuration-source.ts
+++ b/test/router/support/fake-configuration-source.ts
@@ -1,4 +1,4 @@
-/** A configuration source that a test drives by hand. */
+/** A configuration source whose revisions, signs and freshness a test sets. */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
 import type { ReplicaSign } from '../../../src/model/replica-sign.js';
--- a/test/router/support/fake-network.ts
+++ b/test/router/support/fake-network.ts
@@ -1,4 +1,4 @@
-/** A network in memory: the router's listener and the back ends it reaches. */
+/** A network in memory that connects the router's listener and the fake back ends. */
 import { HttpClientError } from '../../../src/errors/http-client-error.js';
 import { BACKEND_QUERY_PATH } from '../../../src/model/backend-protocol.js';
 import { formatAddress, type Address } from '../../../src/seams/address.js';
@@ -54,7 +54,7 @@
 }
 
 export class FakeNetwork implements Network {
-  /** The router's. */
+  /** Request handler of the router; undefined before it listens. */
   handler: HttpHandler | undefined;
   listening = false;
 
@@ -73,10 +73,10 @@
   }
 
   listenMessages(): Promise<MessageListener> {
-    return Promise.reject(new Error('not used'));
+    return Promise.reject(new Error('the fake network carries no messages'));
   }
 
   connectMessages(): Promise<MessageConnection> {
-    return Promise.reject(new Error('not used'));
+    return Promise.reject(new Error('the fake network carries no messages'));
   }
 }
--- a/test/router/support/guarantee-violations.ts
+++ b/test/router/support/guarantee-violations.ts
@@ -1,22 +1,22 @@
-/** Compares what callers were told with what back ends did, knowing nothing of the router. */
+/** Finds violated guarantees by comparing callers' replies with back ends' attempts, without the router's state. */
 import { formatSnapshot } from '../../../src/model/snapshot.js';
 import type { RecordedAttempt } from './fake-backend.js';
 import type { FailureRun, SentQuery } from './failure-run.js';
 
-/** A leaving replica gets no new work after this time. Milliseconds. */
+/** A draining replica gets no new attempt after this time. Milliseconds. */
 const DRAIN_NOTICE_LIMIT_MS = 3_000;
 
-/** What a fake back end answers. */
+/** Result in a fake back end's reply. */
 interface FakeResult {
   readonly requestId: string;
   readonly shardId: string;
   readonly snapshot: string;
 }
 
-/** Name of each broken promise and how often it was. */
+/** Number of violations of each guarantee, by its name. */
 export type GuaranteeViolations = Record<string, number>;
 
-/** The caller's request id within the one that back ends see. */
+/** The caller's request id, extracted from the request id that back ends get. */
 function callerRequestId(requestId: string): string {
   return requestId.slice(0, requestId.lastIndexOf('~'));
 }
@@ -61,7 +61,7 @@
   }
 }
 
-/** Every promise that the run shows broken. */
+/** Counts the violations of every guarantee in a run. */
 export function findGuaranteeViolations(run: FailureRun): GuaranteeViolations {
   const violations: GuaranteeViolations = {};
   const report = (name: string): void => void (violations[name] = (violations[name] ?? 0) + 1);
--- a/test/router/support/router-harness.ts
+++ b/test/router/support/router-harness.ts
@@ -1,4 +1,4 @@
-/** One router over back ends in memory, in virtual time. */
+/** Runs one router over fake back ends in virtual time. */
 import { Registry } from 'prom-client';
 import { routerConfigurationSchema } from '../../../src/configuration/router-configuration.js';
 import type { QueryAnswer, QueryErrorBody } from '../../../src/model/query-answer.js';
@@ -32,7 +32,7 @@
   readonly withoutConfiguration?: boolean;
 }
 
-/** Status, header and either kind of body. */
+/** Response to a query; either `answer` or `error` is valid, depending on the status. */
 export interface Reply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -49,7 +49,7 @@
   controllers: [{ memberId: 'controller-1', address: '127.0.0.1:7500', zone: 'nayoro' }],
 };
 
-/** Replica `r` of shard `s` is `s{s}-r{r}`. */
+/** Creates a layout in which replica `r` of shard `s` has the id `s{s}-r{r}`. */
 export function createLayout(epoch: number, options: HarnessOptions): ShardLayout {
   const { shards = 2, replicas = 2, connections = 40 } = options;
   const zone = 'nayoro';
@@ -129,21 +129,21 @@
     return backend;
   }
 
-  /** Every attempt that any back end saw. */
+  /** The attempts that all back ends have received. */
   get attempts(): { readonly replicaId: string; readonly started: boolean }[] {
     return [...this.backends.values()].flatMap(({ replicaId, attempts }) =>
       attempts.map(({ started }) => ({ replicaId, started })),
     );
   }
 
-  /** Sends a query and leaves time alone. */
+  /** Sends a query without advancing the clock. */
   send(fields: Record<string, unknown>, signal?: AbortSignal, service = SERVICE): Promise<Reply> {
     const content = { requestId: 'request-1', query: { term: 'snow' }, ...fields };
     const body = Buffer.from(JSON.stringify(content));
     return this.post(`/v1/services/${service}/query`, body, signal).then(readReply);
   }
 
-  /** Sends a query and moves time on until it is answered. */
+  /** Sends a query and advances the clock until it is answered. */
   query(fields: Record<string, unknown> = {}): Promise<Reply> {
     return this.clock.runUntil(this.send(fields));
   }
@@ -160,7 +160,7 @@
   private request(
     request: Pick<HttpRequest, 'method' | 'path' | 'body' | 'signal'>,
   ): Promise<HttpResponse> {
-    if (this.network.handler === undefined) throw new Error('not listening');
+    if (this.network.handler === undefined) throw new Error('the router is not listening');
     const query = new URLSearchParams();
     return this.network.handler({
       ...request,
--- a/test/router/support/virtual-clock.ts
+++ b/test/router/support/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** A clock that moves only when a test moves it. */
+/** A clock that advances only when a test advances it. */
 import type { Clock, Timer } from '../../../src/seams/clock.js';
 
 interface PendingTimer {
@@ -6,7 +6,7 @@
   readonly callback: () => void;
 }
 
-/** Lets everything that is ready to run, run. */
+/** Resolves after all tasks that are ready have run. */
 export function settleTasks(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
@@ -48,7 +48,7 @@
     });
   }
 
-  /** Moves time on by `milliseconds`, running every timer at its moment. */
+  /** Advances the clock by `milliseconds` and runs every timer at its due time. */
   async advance(milliseconds: number): Promise<void> {
     const end = this.time + milliseconds;
     await settleTasks();
@@ -59,7 +59,7 @@
     this.time = end;
   }
 
-  /** Moves time on until `promise` settles. */
+  /** Advances the clock until `promise` settles; rejects when it has not within `limit` milliseconds. */
   async runUntil<T>(promise: Promise<T>, limit = 120_000): Promise<T> {
     let settled = false;
     const finish = (): void => void (settled = true);
