--- a/src/router/service-runtime.ts
+++ b/src/router/service-runtime.ts
@@ -6,7 +6,7 @@
 import { createLayoutView, type LayoutView } from './layout-view.js';
 import { SnapshotPlanner } from './snapshot-planner.js';
 
-/** Definition, effective settings, policies and layouts of one revision; a query keeps them to its end. */
+/** Definition, effective settings, policies and layouts of one revision; a query keeps them. */
 export class ServiceRuntime {
   readonly layouts: readonly LayoutView[];
   readonly planner: SnapshotPlanner;
--- a/test/router/at-most-once.test.ts
+++ b/test/router/at-most-once.test.ts
@@ -148,7 +148,7 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('does not run, when marked as a resend, on a router that does not know the first request', async () => {
+  it('does not run, when marked, on a router that does not know the first request', async () => {
     const [harness, other] = [await RouterHarness.start(), await RouterHarness.start()];
     const { answer } = await harness.query(NOT_REPEATABLE);
     const resend = { ...NOT_REPEATABLE, resend: true };
--- a/test/router/bad-input.test.ts
+++ b/test/router/bad-input.test.ts
@@ -56,7 +56,7 @@
     nothing: ['', undefined],
   };
   for (const [name, [text, path]] of Object.entries(wrong)) {
-    it(`with ${name} is rejected, with the path of the invalid field if any, and causes no attempt`, async () => {
+    it(`with ${name} is rejected, names the invalid field if any, and causes no attempt`, async () => {
       const harness = await RouterHarness.start();
       const { status, error } = await postText(harness, text);
       expect(status).toBe(400);
--- a/test/router/single-server.test.ts
+++ b/test/router/single-server.test.ts
@@ -59,7 +59,7 @@
 });
 
 describe('a request with a key', () => {
-  it('runs at one replica of one shard, and no other shard gets an attempt, when it is not repeatable', async () => {
+  it('causes one attempt, at one replica of one shard, when it is not repeatable', async () => {
     const harness = await RouterHarness.start({ shards: 4 });
     const { answer } = await harness.query({ key: 'family-17', repeatable: false });
     expect(answer.coverage.reached).toHaveLength(1);
--- a/test/router/support/failure-run.ts
+++ b/test/router/support/failure-run.ts
@@ -173,7 +173,7 @@
     this.harness.source.publishSign(sign);
   }
 
-  /** Makes a small fraction of replies fail: lost, foreign, not started, failed, malformed or never sent. */
+  /** Makes a small fraction of replies lost, foreign, not started, failed, malformed or endless. */
   private injectReplyFailure(draft: ReplyDraft, backend: FakeBackend): void {
     const chance = this.random.nextFloat();
     draft.latency += this.random.nextInteger(0, 10);
--- a/test/router/support/guarantee-violations.ts
+++ b/test/router/support/guarantee-violations.ts
@@ -1,4 +1,7 @@
-/** Finds violated guarantees by comparing callers' replies with back ends' attempts, without the router's state. */
+/**
+ * Finds violated guarantees by comparing the replies of callers with the attempts that back
+ * ends received, without looking into the router.
+ */
 import { formatSnapshot } from '../../../src/model/snapshot.js';
 import type { RecordedAttempt } from './fake-backend.js';
 import type { FailureRun, SentQuery } from './failure-run.js';
