--- a/src/model/backend-protocol.ts
+++ b/src/model/backend-protocol.ts
@@ -27,7 +27,7 @@
   Incarnation: 'x-driftway-incarnation',
   /** Reply only: `true` once the back end is draining. */
   Draining: 'x-driftway-draining',
-  /** Reply only: requests running in and queued at the back end, together. */
+  /** Reply only: requests running in its slots and waiting in its queue, together. */
   Load: 'x-driftway-load',
 } as const;
 
--- a/src/model/coverage.ts
+++ b/src/model/coverage.ts
@@ -21,7 +21,7 @@
 
 /**
  * Coverage of an answer. `reached` and `missing` together name every shard that the query
- * went to: every shard of the layout, or the one that holds the query's key.
+ * is for: every shard of the layout, or the one that holds the query's key.
  */
 export interface Coverage {
   /** Minimum fraction of shards that the answer had to reach, 0 to 1. */
--- a/src/model/query-answer.ts
+++ b/src/model/query-answer.ts
@@ -57,7 +57,7 @@
     readonly retryAfterMs?: number;
     /** Path of the invalid field, for `bad_request`. */
     readonly path?: string;
-    /** Coverage reached when the query ended; absent when it was refused before its execution. */
+    /** Coverage reached by the execution; absent when this request was not executed. */
     readonly coverage?: Coverage;
     readonly settingsRevision?: number;
   };
--- a/src/model/replica-sign.ts
+++ b/src/model/replica-sign.ts
@@ -10,7 +10,7 @@
   gone: 2,
 };
 
-/** One observation that a replica is live, draining or gone. Messages call it a sign. */
+/** One observation that a replica is live, draining or gone, called a sign. */
 export interface ReplicaSign {
   readonly replicaId: string;
   /** Incarnation of the back-end process. A larger one supersedes all signs of smaller ones. */
--- a/src/model/service-definition.ts
+++ b/src/model/service-definition.ts
@@ -45,7 +45,7 @@
   name: nameSchema,
   kind: serviceKindSchema,
   region: nameSchema,
-  /** Layouts in use, oldest first; a repartition adds one and later removes the oldest. */
+  /** Layouts that queries may use, oldest first; a repartition adds one and later removes the oldest. */
   layouts: z.array(layoutSchema).min(1).max(4),
 });
 export type ServiceDefinition = z.infer<typeof serviceSchema>;
--- a/src/router/backend-attempt.ts
+++ b/src/router/backend-attempt.ts
@@ -133,7 +133,7 @@
   }
 
   private classifyAnswer(response: HttpClientResponse, latency: number): AttemptOutcome {
-    const resultText = parseJsonText(response.body);
+    const resultText = decodeJsonText(response.body);
     if (resultText === undefined) return this.dropReply('malformed_body');
     const { record, snapshot, shardId } = this.target;
     this.router.registry.onAnswer(record, snapshot, latency);
@@ -176,7 +176,7 @@
 }
 
 /** The body as text when it is valid JSON in UTF-8, else undefined. */
-function parseJsonText(body: Uint8Array): string | undefined {
+function decodeJsonText(body: Uint8Array): string | undefined {
   try {
     const text = new TextDecoder('utf-8', { fatal: true }).decode(body);
     JSON.parse(text);
--- a/src/router/execution-result.ts
+++ b/src/router/execution-result.ts
@@ -8,7 +8,7 @@
   | 'complete'
   /** Enough shards answered, and the completion policy stopped waiting for the rest. */
   | 'sufficient'
-  /** Too many shards failed to reach the required coverage. */
+  /** So many shards failed that the required coverage is out of reach. */
   | 'unreachable'
   | 'deadline'
   | 'cancelled'
--- a/src/router/http-responses.ts
+++ b/src/router/http-responses.ts
@@ -22,14 +22,12 @@
 
 /** Response to a request for a path that the router does not serve. */
 export function pathNotFound(): HttpResponse {
-  return errorResponse(badRequest('the path does not exist', undefined, 404));
+  return errorResponse(badRequest('there is no such path', undefined, 404));
 }
 
 /** Response to a request for a query path with a method other than POST. */
 export function methodNotAllowed(): HttpResponse {
-  const { headers, ...response } = errorResponse(
-    badRequest('the method is not allowed: use POST', undefined, 405),
-  );
+  const { headers, ...response } = errorResponse(badRequest('use POST', undefined, 405));
   return { ...response, headers: { ...headers, allow: 'POST' } };
 }
 
--- a/src/router/outcome-store.ts
+++ b/src/router/outcome-store.ts
@@ -66,13 +66,10 @@
     const entry = this.entries.get(keyOf(service, query));
     if (entry === undefined) return undefined;
     if (query.request.repeatable || entry.fingerprint !== fingerprintOf(query)) {
-      throw badRequest(
-        'a different request with the same requestId was received before',
-        'requestId',
-      );
+      throw badRequest('another request with this id was received before', 'requestId');
     }
     if (entry.outcome !== undefined) return entry.outcome;
-    const message = 'the request was received before, and its outcome is no longer stored';
+    const message = 'this request was received before and its outcome is no longer kept';
     throw new QueryError('outcome_unknown', 504, message, true, {}, { step: 'find outcome' });
   }
 
@@ -136,10 +133,7 @@
     const [oldest] = this.entries.values();
     if (this.entries.size < this.limits.requestIds || oldest === undefined) return;
     const retryAfter = Math.max(1, oldest.receivedAt + REQUEST_ID_RETENTION_MS - this.clock.now());
-    throw refusedNotRun(
-      'the router cannot store the id of another request that is not repeatable',
-      retryAfter,
-    );
+    throw refusedNotRun('no further not repeatable request can be remembered', retryAfter);
   }
 }
 
--- a/src/router/query-endpoint.ts
+++ b/src/router/query-endpoint.ts
@@ -32,7 +32,7 @@
   readonly logger: Logger;
 }
 
-/** Handles one HTTP request at a time to the query path; errors become HTTP responses. */
+/** Handles the HTTP requests to the query path; an error becomes an HTTP response. */
 export class QueryEndpoint {
   private readonly resends: ResendResolver;
 
@@ -87,7 +87,7 @@
       router.metrics.refusals.inc({ reason });
       throw notReadyError(reason);
     }
-    if (service === undefined) throw badRequest('the service does not exist', 'service', 404);
+    if (service === undefined) throw badRequest('there is no such service', 'service', 404);
     return service;
   }
 
@@ -154,13 +154,6 @@
   private createUnexpectedError(error: unknown): QueryError {
     const reason = error instanceof Error ? error.message : String(error);
     this.options.logger.error('query failed unexpectedly', { reason });
-    return new QueryError(
-      'failed',
-      502,
-      'internal error of the router',
-      true,
-      {},
-      { step: 'query' },
-    );
+    return new QueryError('failed', 502, 'the router failed', true, {}, { step: 'query' });
   }
 }
--- a/src/router/query-error.ts
+++ b/src/router/query-error.ts
@@ -5,7 +5,10 @@
 /** Fields of the response body besides the code, the message and `mayHaveRun`. */
 export type QueryErrorDetails = Omit<QueryErrorBody['error'], 'code' | 'message' | 'mayHaveRun'>;
 
-/** End of a query without an answer; `reason` becomes the message of the response body. */
+/**
+ * End of a query without an answer. `reason` becomes the message of the response body;
+ * `status` is one of the HTTP statuses that {@link QueryErrorCode} lists for the code.
+ */
 export class QueryError extends DriftwayError {
   constructor(
     readonly code: QueryErrorCode,
--- a/src/router/query-execution.ts
+++ b/src/router/query-execution.ts
@@ -65,7 +65,7 @@
     signal.removeEventListener('abort', onAbort);
     this.endController.abort();
     this.outcomes.forEach((outcome) => {
-      if (outcome === undefined) this.completion.recordUnfinished(this.sinceAsked);
+      if (outcome === undefined) this.completion.recordUnfinished(this.sinceStart);
     });
     for (const shard of this.shards) shard.cancel();
     const sufficient =
@@ -82,7 +82,7 @@
     this.outcomes[index] = outcome;
     if (outcome.kind === 'answered') {
       this.reached += 1;
-      this.completion.recordReply(this.sinceAsked);
+      this.completion.recordReply(this.sinceStart);
       this.answerBytes += outcome.bytes;
     }
     if (this.mayEndWait(outcome)) this.wakeup.wake();
@@ -99,8 +99,8 @@
     return this.query.service.policies.completion;
   }
 
-  /** Time since the shards were queried. Milliseconds. */
-  private get sinceAsked(): number {
+  /** Time since the execution started. Milliseconds. */
+  private get sinceStart(): number {
     return this.router.environment.clock.now() - this.startedAt;
   }
 
@@ -135,7 +135,7 @@
       pending: this.pending,
       requiredCoverage: query.requiredCoverage,
       elapsed: this.router.environment.clock.now() - query.receivedAt,
-      sinceAsked: this.sinceAsked,
+      sinceAsked: this.sinceStart,
       remaining,
     });
     return Math.min(furtherWait, remaining);
--- a/src/router/query-parser.ts
+++ b/src/router/query-parser.ts
@@ -47,7 +47,7 @@
 /** `JSON.stringify` replacer that rejects infinite numbers: they would become null, a different query. */
 function rejectInfinite(_key: string, value: unknown): unknown {
   if (value === Infinity || value === -Infinity) {
-    throw badRequest('a number is beyond the range of a double', 'query');
+    throw badRequest('a number is too large', 'query');
   }
   return value;
 }
@@ -76,5 +76,5 @@
   }
   const [issue] = result.error.issues;
   const path = issue === undefined ? '' : issue.path.map(String).join('.');
-  throw badRequest(issue?.message ?? 'the body is not a valid query', path || undefined);
+  throw badRequest(issue?.message ?? 'the body is not a query', path || undefined);
 }
--- a/src/router/query-pipeline.ts
+++ b/src/router/query-pipeline.ts
@@ -76,7 +76,7 @@
     throw refusedNotRun(
       plan === undefined
         ? 'no snapshot is held by enough live replicas for the required coverage'
-        : 'the deadline passed before any attempt was sent',
+        : 'the deadline passed before anything could be sent',
       RETRY_AFTER_MS,
     );
   }
@@ -86,7 +86,10 @@
     return service.planner.plan({ requiredCoverage, key: request.key, excluded });
   }
 
-  /** A second plan, on another snapshot, when a replica of a missing shard lacks the first. */
+  /**
+   * A second plan, on another snapshot, for a repeatable query when a replica of a missing
+   * shard lacks the snapshot of the first plan.
+   */
   private replan(first: ExecutionResult, signal: AbortSignal): QueryPlan | undefined {
     if (!this.query.request.repeatable || !first.hasReplicaWithoutSnapshot) return undefined;
     if (signal.aborted || this.remaining <= 0) return undefined;
--- a/src/router/resend-resolver.ts
+++ b/src/router/resend-resolver.ts
@@ -33,7 +33,7 @@
     }
     // The request may have run through another router, or through this one before a restart.
     if (resend === true && !repeatable) {
-      throw outcomeUnknown('this router has no record of an earlier request with this requestId');
+      throw outcomeUnknown('this router knows no earlier request with this id');
     }
     return undefined;
   }
@@ -41,7 +41,7 @@
   private withTimeout(deadlineMs: number, earlier: Promise<FinishedQuery>): Promise<FinishedQuery> {
     return new Promise((resolve, reject) => {
       const timer = this.clock.setTimer(subtractAnswerReserve(deadlineMs), () =>
-        reject(outcomeUnknown('the first request with this requestId is still running')),
+        reject(outcomeUnknown('the first request with this id is still running')),
       );
       void earlier.then((finished) => {
         timer.cancel();
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -36,7 +36,7 @@
 }
 
 /**
- * Time between readiness turning false and the listener's close. Longer than the 5 s for
+ * Minimum time between readiness turning false and the listener's close. Longer than the 5 s for
  * which a caller's connection may be idle: every response during this time closes its
  * connection, so that afterwards none is left on which a caller could be sending a
  * request. Milliseconds.
@@ -104,8 +104,7 @@
 
   /** Address of the HTTP listener. Throws before the listener is open. */
   get address(): Address {
-    if (this.listener === undefined)
-      throw new Error('the address of the router is not known before its listener is open');
+    if (this.listener === undefined) throw new Error('the router is not listening yet');
     return this.listener.address;
   }
 
--- a/src/router/router-readiness.ts
+++ b/src/router/router-readiness.ts
@@ -7,14 +7,18 @@
 /** Retry time told to callers while the router starts, stops or has stale settings. Milliseconds. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Why the router refuses queries; also the body of `/readyz` and the `reason` label of refusals. */
+/**
+ * Why the router is not ready or refuses a query: the body of `/readyz` and the `reason`
+ * label of refusals. `stale_settings` concerns only services that refuse queries while the
+ * settings are stale, and never `/readyz`.
+ */
 export type NotReadyReason = 'stopping' | 'no_configuration' | 'no_reports' | 'stale_settings';
 
 const REFUSAL_MESSAGES: Readonly<Record<NotReadyReason, string>> = {
   stopping: 'this router is stopping',
   no_configuration: 'this router has no configuration yet',
-  no_reports: 'this router has not polled its replicas for their reports yet',
-  stale_settings: 'this router cannot confirm that its settings are the latest',
+  no_reports: 'this router has not asked the replicas for their reports yet',
+  stale_settings: 'this router cannot tell whether its settings are still in force',
 };
 
 /** Startup, stop and freshness state of one router. */
--- a/src/router/service-runtime.ts
+++ b/src/router/service-runtime.ts
@@ -1,4 +1,4 @@
-/** One service at one configuration revision. */
+/** One service at one configuration revision. Immutable: a query keeps it until its end. */
 import type { ReplicaRegistry } from '../membership/replica-registry.js';
 import type { ServiceDefinition } from '../model/service-definition.js';
 import type { ServicePolicies } from '../policies/service-policies.js';
@@ -6,7 +6,7 @@
 import { createLayoutView, type LayoutView } from './layout-view.js';
 import { SnapshotPlanner } from './snapshot-planner.js';
 
-/** Definition, effective settings, policies and layouts of one revision; a query keeps them. */
+/** Definition, effective settings, policies and layouts of one service at one revision. */
 export class ServiceRuntime {
   readonly layouts: readonly LayoutView[];
   readonly planner: SnapshotPlanner;
--- a/src/router/snapshot-planner.ts
+++ b/src/router/snapshot-planner.ts
@@ -1,8 +1,8 @@
 /**
  * Chooses the snapshot that answers a query; see docs/design/snapshots.md. First choice:
  * the newest snapshot that at least one live replica of every queried shard holds. Second
- * choice: the newest held in enough shards for the required coverage. Each choice counts
- * only replicas whose reports arrive at first, then all live replicas.
+ * choice: the newest held in enough shards for the required coverage. Each choice is tried
+ * with only the replicas whose reports arrive, and then with all live replicas.
  */
 import type { ReplicaRecord } from '../membership/replica-record.js';
 import type { ReplicaRegistry } from '../membership/replica-registry.js';
--- a/test/router/at-most-once.test.ts
+++ b/test/router/at-most-once.test.ts
@@ -36,7 +36,7 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('runs twice under the fault that treats it as repeatable', async () => {
+  it('runs more than once under the fault that treats it as repeatable', async () => {
     const harness = await startLosingReplies({ retryNotRepeatable: true });
     await harness.query(NOT_REPEATABLE);
     expect(startedCount(harness)).toBeGreaterThan(1);
@@ -148,7 +148,7 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('does not run, when marked, on a router that does not know the first request', async () => {
+  it('marked as a resend does not run on a router that does not know the first request', async () => {
     const [harness, other] = [await RouterHarness.start(), await RouterHarness.start()];
     const { answer } = await harness.query(NOT_REPEATABLE);
     const resend = { ...NOT_REPEATABLE, resend: true };
--- a/test/router/deadlines.test.ts
+++ b/test/router/deadlines.test.ts
@@ -84,7 +84,7 @@
 describe('replies that arrive slowly', () => {
   const settings = { maximumAnswerBytes: 1_024 };
 
-  it('end the query once they take more memory than two answers', async () => {
+  it('take no more memory than two answers, and end the query once they would', async () => {
     const harness = await RouterHarness.start({ shards: 8, settings });
     for (const backend of harness.backends.values()) {
       backend.latency = Infinity;
--- a/test/router/snapshots.test.ts
+++ b/test/router/snapshots.test.ts
@@ -94,7 +94,7 @@
     }
   });
 
-  it('is replanned only once, and the two executions share no attempt', async () => {
+  it('is replanned only once, and the second execution shares nothing with the first', async () => {
     const settings = { requiredCoverage: 0.6 };
     const harness = await RouterHarness.start({ shards: 3, replicas: 1, settings });
     for (const backend of harness.backends.values()) backend.snapshots = ['1.1', '1.2', '1.3'];
