--- a/src/router/router-readiness.ts
+++ b/src/router/router-readiness.ts
@@ -9,8 +9,8 @@
 
 /**
  * Why the router is not ready or refuses a query: the body of `/readyz` and the `reason`
- * label of refusals. `stale_settings` concerns only services that refuse queries while the
- * settings are stale, and never `/readyz`.
+ * label of refusals. `no_reports` appears only at `/readyz` and refuses no query;
+ * `stale_settings` only refuses queries of services that are configured to refuse them.
  */
 export type NotReadyReason = 'stopping' | 'no_configuration' | 'no_reports' | 'stale_settings';
 
