--- a/src/administration/evacuation-routes.ts
+++ b/src/administration/evacuation-routes.ts
@@ -33,7 +33,7 @@
 async function listZones(context: AdministrationContext): Promise<{ zones: string[] }> {
   const orders = ordersOf(context);
   await context.catchUp();
-  return { zones: orders.applied() };
+  return { zones: orders.appliedZones() };
 }
 
 export const EVACUATION_ROUTES: readonly Route[] = [
@@ -59,7 +59,7 @@
     handle: async ({ context, body }) => {
       const orders = ordersOf(context);
       try {
-        await orders.give({ zone: body.zone, isEvacuated: body.evacuated });
+        await orders.submit({ zone: body.zone, isEvacuated: body.evacuated });
       } catch (error) {
         throw orderError(error);
       }
--- a/src/aggregation/aggregation.ts
+++ b/src/aggregation/aggregation.ts
@@ -9,14 +9,14 @@
 import type { GatewayContext } from '../gateway/gateway-context.js';
 import type { PartListener, PartSource } from '../gateway/part-source.js';
 import type { ReplicaTarget } from '../gateway/replica-target.js';
-import type { SecondSendLimits } from '../gateway/second-send-budget.js';
+import type { ExtraAttemptLimits } from '../gateway/extra-attempt-budget.js';
 import type { Telemetry } from '../observability/telemetry.js';
 import { AuthenticatedListener } from '../protocol/authenticated-listener.js';
 import type { LocalIdentity } from '../protocol/handshake.js';
 import type { RouteTable } from '../routes/route-table.js';
 import type { Address } from '../seams/address.js';
 import { LeafAssignment } from './leaf-assignment.js';
-import { GROUP_OWNERS, NEAR_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
+import { GROUP_OWNERS, SAME_ZONE_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
 import { LeafLatencies } from './leaf-latencies.js';
 import { LeafPool } from './leaf-pool.js';
 import { LeafServer } from './leaf-server.js';
@@ -29,7 +29,7 @@
  */
 const SHARING_LEAVES_PER_OWNER = 2;
 /** How often connections to leaves are looked after. Milliseconds. */
-const KEEP_INTERVAL_MS = 300;
+const MAINTENANCE_INTERVAL_MS = 300;
 
 /** What the part is made of. */
 export interface AggregationOptions {
@@ -38,7 +38,7 @@
   /** Of this gateway. */
   readonly zone: string;
   readonly settings: AggregationSettings;
-  readonly secondSends: SecondSendLimits;
+  readonly secondSends: ExtraAttemptLimits;
   readonly telemetry: Telemetry;
   readonly leaves: () => readonly LeafGateway[];
   readonly table: () => RouteTable | undefined;
@@ -52,13 +52,13 @@
   private readonly server: LeafServer;
   private readonly planner: SourcePlanner;
   private listener: AuthenticatedListener | undefined;
-  private readonly owned = new WeakMap<readonly LeafGroup[], ReadonlySet<string>>();
+  private readonly ownedShardsByGroups = new WeakMap<readonly LeafGroup[], ReadonlySet<string>>();
 
   constructor(private readonly options: AggregationOptions) {
     const { context, identity, zone, settings, telemetry, leaves, table } = options;
     const { environment, targets } = context;
     const { clock, random } = environment;
-    const leafContext = { ...context, shares: this.leafShares() };
+    const leafContext = { ...context, shares: this.createLeafShares() };
     const { logger } = telemetry;
     const { traffic } = context;
     this.pool = new LeafPool({ environment, identity, logger, traffic }, random);
@@ -67,7 +67,7 @@
       targets,
       leaves,
       shardsPerGroup: settings.shardsPerGroup,
-      nearTo: settings.nearGroups ? { name: identity.name, zone } : undefined,
+      sameZoneAs: settings.nearGroups ? { name: identity.name, zone } : undefined,
     });
     this.server = new LeafServer({
       context: leafContext,
@@ -100,7 +100,7 @@
 
   /** Keeps connections to leaves open until the gateway stops. */
   start(): void {
-    void this.keepConnected();
+    void this.maintainConnections();
   }
 
   /** Gathers in progress here for other gateways. */
@@ -118,7 +118,7 @@
   }
 
   /** Whether this gateway asks the service itself, so that connections to its replicas pay. */
-  asksItself(service: string): boolean {
+  queriesDirectly(service: string): boolean {
     const lists = this.options.table()?.shardLists ?? [];
     let isNamed = false;
     for (const list of lists) {
@@ -134,20 +134,24 @@
    * Replicas that are asked first, of services that are asked from here: where each zone asks its
    * own replicas, those of other zones are asked too seldom to hold connections to all of them.
    */
-  *firstAsked(): IterableIterator<ReplicaTarget> {
+  *preferredTargets(): IterableIterator<ReplicaTarget> {
     const { context, settings, zone } = this.options;
     const { targets } = context;
     for (const target of targets.all()) {
       const { entry } = target;
-      const isNear = (other: ReplicaTarget): boolean => other.entry.zone === zone;
-      if (!settings.nearGroups || isNear(target) || !targets.of(entry.service).some(isNear)) {
+      const isInSameZone = (other: ReplicaTarget): boolean => other.entry.zone === zone;
+      if (
+        !settings.nearGroups ||
+        isInSameZone(target) ||
+        !targets.of(entry.service).some(isInSameZone)
+      ) {
         yield target;
       }
     }
   }
 
   /** Planned stop, first half: takes no new gathers; those in progress go on. */
-  stopTaking(): void {
+  stopAccepting(): void {
     this.server.stop();
   }
 
@@ -164,18 +168,18 @@
 
   /** Shards of the groups that this gateway owns. Asked for with each replica, so it is kept. */
   private ownedShards(groups: readonly LeafGroup[]): ReadonlySet<string> {
-    const known = this.owned.get(groups);
+    const known = this.ownedShardsByGroups.get(groups);
     if (known !== undefined) return known;
     const { name } = this.options.identity;
     const mine = groups.filter(({ leaves, owners }) =>
       leaves.slice(0, owners).some((leaf) => leaf.name === name),
     );
     const shards = new Set(mine.flatMap((group) => group.shards));
-    this.owned.set(groups, shards);
+    this.ownedShardsByGroups.set(groups, shards);
     return shards;
   }
 
-  private leafShares(): FleetShares {
+  private createLeafShares(): FleetShares {
     const { context, secondSends } = this.options;
     const { clock } = context.environment;
     const { youngShares } = context.mechanisms;
@@ -187,24 +191,24 @@
     const { settings, leaves } = this.options;
     if (!settings.nearGroups) return SHARING_LEAVES_PER_OWNER * GROUP_OWNERS;
     const zones = new Set(leaves().map(({ zone }) => zone));
-    const asking = new Set<string>();
+    const queryingZones = new Set<string>();
     for (const { entry } of this.options.context.targets.all()) {
-      if (zones.has(entry.zone)) asking.add(entry.zone);
+      if (zones.has(entry.zone)) queryingZones.add(entry.zone);
     }
-    return SHARING_LEAVES_PER_OWNER * NEAR_GROUP_OWNERS * Math.max(1, asking.size);
+    return SHARING_LEAVES_PER_OWNER * SAME_ZONE_GROUP_OWNERS * Math.max(1, queryingZones.size);
   }
 
-  private async keepConnected(): Promise<void> {
+  private async maintainConnections(): Promise<void> {
     const { context, stopped, identity } = this.options;
     const { clock } = context.environment;
     while (!stopped.aborted) {
-      this.pool.keep(
+      this.pool.updateConnections(
         this.dividedGroups().map((group) => ({
           ...group,
           leaves: group.leaves.filter(({ name }) => name !== identity.name),
         })),
       );
-      await clock.sleep(KEEP_INTERVAL_MS, stopped).catch(() => undefined);
+      await clock.sleep(MAINTENANCE_INTERVAL_MS, stopped).catch(() => undefined);
     }
   }
 
--- a/src/aggregation/group-gather.ts
+++ b/src/aggregation/group-gather.ts
@@ -19,7 +19,7 @@
 import type { LeafPool } from './leaf-pool.js';
 
 /** Most leaves that are asked one after the other. */
-const MAXIMUM_LEAVES_ASKED = 3;
+const MAXIMUM_LEAVES_TRIED = 3;
 /** Time for a leaf's report to arrive and be merged before the root answers. Milliseconds. */
 const REPORT_MARGIN_MS = 6;
 /**
@@ -29,7 +29,7 @@
 const RELAY_REPORT_MARGIN_MS = 24;
 
 /** What all gathers of a root share. */
-export interface GroupGatherParts {
+export interface GroupGatherContext {
   /** For shards that are asked from here because no leaf can be reached. */
   readonly rootContext: GatewayContext;
   /** For groups of which this gateway is a leaf itself. */
@@ -52,7 +52,7 @@
   readonly reportAt?: number;
   /**
    * At a relay: asked before any shard may be asked a second time; once it has said no,
-   * {@link GroupGather.takeGrant} follows if that changes.
+   * {@link GroupGather.handleGrant} follows if that changes.
    */
   readonly maySendAgain?: () => boolean;
 }
@@ -61,21 +61,21 @@
 export class GroupGather implements PartSource, PartListener {
   private readonly missing: Set<string>;
   private readonly attempts: LeafAttempt[] = [];
-  private readonly asked = new Set<string>();
+  private readonly triedLeaves = new Set<string>();
   private readonly active = new Set<LeafAttempt>();
-  private local: ShardGather | undefined;
-  private patienceTimer: Timer | undefined;
+  private localGather: ShardGather | undefined;
+  private reportTimer: Timer | undefined;
   private mayHaveRun = false;
   /** Replicas of each missing shard that may still be asked, over all leaves together. */
   private attemptsLeft: number;
   private isDone = false;
   /** What waits for the root's grant; see `GroupGatherOptions.maySendAgain`. */
-  private isHedgeDue = false;
-  private isReplacementDue = false;
-  private isNextLeafDue = false;
+  private isHedgePending = false;
+  private isReplacementPending = false;
+  private isNextLeafPending = false;
 
   constructor(
-    private readonly parts: GroupGatherParts,
+    private readonly context: GroupGatherContext,
     private readonly request: CallerRequest,
     private readonly options: GroupGatherOptions,
     private readonly listener: PartListener,
@@ -89,36 +89,36 @@
   }
 
   start(): void {
-    const { ownName, leafContext, latencies } = this.parts;
+    const { ownName, leafContext, latencies } = this.context;
     if (this.group.leaves[0]?.name === ownName) {
-      this.askFromHere(leafContext, false);
+      this.gatherLocally(leafContext, false);
       return;
     }
     const { clock } = leafContext.environment;
-    const patience = latencies.patience(this.request.route);
-    this.patienceTimer = clock.setTimer(patience, () => this.loseIfSilent());
-    this.askNext();
+    const reportTimeoutMs = latencies.reportTimeoutMs(this.request.route);
+    this.reportTimer = clock.setTimer(reportTimeoutMs, () => this.replaceSilentLeaf());
+    this.tryNextLeaf();
   }
 
   cancel(reason: string): void {
     this.isDone = true;
-    this.patienceTimer?.cancel();
-    this.local?.cancel(reason);
+    this.reportTimer?.cancel();
+    this.localGather?.cancel(reason);
     for (const attempt of this.active) attempt.handle?.cancel();
   }
 
   get sends(): number {
     const atLeaves = this.attempts.reduce((sum, { sends }) => sum + sends, 0);
-    return atLeaves + (this.local?.sends ?? 0);
+    return atLeaves + (this.localGather?.sends ?? 0);
   }
 
-  get isOffered(): boolean {
+  get mayHaveSent(): boolean {
     // A leaf that was lost before it reported may have asked replicas.
     return this.active.size > 0 || this.sends > 0 || this.mayHaveRun;
   }
 
   get mayRun(): boolean {
-    return this.mayHaveRun || this.active.size > 0 || this.local?.mayRun === true;
+    return this.mayHaveRun || this.active.size > 0 || this.localGather?.mayRun === true;
   }
 
   missingAttempts(receivedAt: number): readonly LogFields[] {
@@ -126,7 +126,7 @@
     const atLeaves = this.attempts.map((attempt) =>
       leafAttemptFields(attempt, receivedAt, this.missing.size),
     );
-    return [...atLeaves, ...(this.local?.missingAttempts(receivedAt) ?? [])];
+    return [...atLeaves, ...(this.localGather?.missingAttempts(receivedAt) ?? [])];
   }
 
   onParts(parts: GatheredParts): void {
@@ -142,17 +142,17 @@
   }
 
   /** At a relay: the root has granted second sendings. */
-  takeGrant(): void {
+  handleGrant(): void {
     if (this.isDone) return;
     for (const attempt of this.active) {
       if (attempt.wantsGrant) this.grantTo(attempt);
     }
-    if (this.isHedgeDue) this.local?.hedge();
-    if (this.isReplacementDue) this.loseIfSilent();
-    if (!this.isNextLeafDue) return;
+    if (this.isHedgePending) this.localGather?.hedge();
+    if (this.isReplacementPending) this.replaceSilentLeaf();
+    if (!this.isNextLeafPending) return;
     // Else a leaf that declines after this would be followed by nobody.
-    this.isNextLeafDue = false;
-    this.askNext();
+    this.isNextLeafPending = false;
+    this.tryNextLeaf();
   }
 
   private get maySendAgain(): boolean {
@@ -160,19 +160,21 @@
   }
 
   /** Asks the next leaf for what is missing. */
-  private askNext(): void {
+  private tryNextLeaf(): void {
     if (this.attemptsLeft < 1) {
       this.listener.onFailed([...this.missing]);
       return;
     }
-    const { pool, rootContext } = this.parts;
+    const { pool, rootContext } = this.context;
     const link =
-      this.asked.size < MAXIMUM_LEAVES_ASKED ? pool.choose(this.group, this.asked) : undefined;
-    if (link === undefined || !this.askLeaf(link)) this.askFromHere(rootContext, this.mayRun);
+      this.triedLeaves.size < MAXIMUM_LEAVES_TRIED
+        ? pool.choose(this.group, this.triedLeaves)
+        : undefined;
+    if (link === undefined || !this.sendToLeaf(link)) this.gatherLocally(rootContext, this.mayRun);
   }
 
-  private askFromHere(context: GatewayContext, isRepeat: boolean): void {
-    if (this.local !== undefined) return;
+  private gatherLocally(context: GatewayContext, isRepeat: boolean): void {
+    if (this.localGather !== undefined) return;
     const { attemptsLeft } = this;
     const { totalShards } = this.options;
     const shards = [...this.missing];
@@ -180,13 +182,13 @@
     const request = { ...this.request, route };
     const maySendAgain = (): boolean => this.mayHedge();
     const options = { shards, totalShards, isRepeat: isRepeat || this.isRepeat, maySendAgain };
-    this.local = new ShardGather(context, request, options, this);
-    this.local.start();
+    this.localGather = new ShardGather(context, request, options, this);
+    this.localGather.start();
   }
 
   private mayHedge(): boolean {
     const { maySendAgain } = this;
-    this.isHedgeDue ||= !maySendAgain;
+    this.isHedgePending ||= !maySendAgain;
     return maySendAgain;
   }
 
@@ -194,25 +196,25 @@
     return this.options.isRepeat === true;
   }
 
-  private askLeaf(link: LeafLink): boolean {
+  private sendToLeaf(link: LeafLink): boolean {
     const { name } = link.leaf;
     const sentAt = this.now();
     const attempt = beginLeafAttempt(name, sentAt);
-    attempt.handle = link.gather(this.call(sentAt), {
-      onReport: (parts, report) => this.takeReport(attempt, parts, report),
+    attempt.handle = link.gather(this.buildCall(sentAt), {
+      onReport: (parts, report) => this.handleReport(attempt, parts, report),
       onDeclined: (reason) => this.endAttempt(attempt, `declined: ${reason}`),
-      onLost: () => this.lose(attempt, link),
+      onLost: () => this.handleLoss(attempt, link),
     });
     if (attempt.handle === undefined) return false;
-    this.asked.add(name);
+    this.triedLeaves.add(name);
     this.attempts.push(attempt);
     this.active.add(attempt);
     return true;
   }
 
-  private call(now: number): GatherCall {
+  private buildCall(now: number): GatherCall {
     const { route, receivedAt, deadline } = this.request;
-    const { answerMargin } = this.parts.rootContext;
+    const { answerMargin } = this.context.rootContext;
     const cutOffAt = receivedAt + answerMargin.cutOffDelay(targetLatencyOf(route));
     const reportBy = this.options.reportAt ?? cutOffAt;
     const { isRelayed } = this.group;
@@ -230,8 +232,8 @@
     };
   }
 
-  private takeReport(attempt: LeafAttempt, parts: GatheredParts, report: PartsMessage): void {
-    this.noteReport(attempt, report);
+  private handleReport(attempt: LeafAttempt, parts: GatheredParts, report: PartsMessage): void {
+    this.recordReport(attempt, report);
     // Parts of several shards cannot be taken apart: all of them are new, or none is used.
     const isNew = parts.shards.every((shard) => this.missing.has(shard));
     if (isNew && parts.shards.length > 0) this.onParts(parts);
@@ -241,42 +243,45 @@
     this.active.delete(attempt);
     attempt.endedAt = this.now();
     attempt.result = report.reason === '' ? 'reported' : `reported: ${report.reason}`;
-    this.failIfOver();
+    this.failMissingIfEnded();
   }
 
   private grantTo(attempt: LeafAttempt): void {
     attempt.wantsGrant = true;
     if (!this.maySendAgain) return;
-    if (attempt.isGranted || this.isDone || attempt.isGivenUp || this.attemptsLeft < 2) return;
+    if (attempt.isGranted || this.isDone || attempt.isReplaced || this.attemptsLeft < 2) return;
     attempt.isGranted = true;
     attempt.handle?.grant();
   }
 
-  private noteReport(attempt: LeafAttempt, report: PartsMessage): void {
-    const { latencies, rootContext } = this.parts;
+  private recordReport(attempt: LeafAttempt, report: PartsMessage): void {
+    const { latencies, rootContext } = this.context;
     attempt.sends = report.sends;
-    rootContext.shedding.learn(this.request.route.shards?.[0] ?? '', report.admittedPart);
+    rootContext.shedding.mergeAdmittedPart(
+      this.request.route.shards?.[0] ?? '',
+      report.admittedPart,
+    );
     if (attempt.hasReported) return;
     attempt.hasReported = true;
-    latencies.noteReport(this.request.route, this.now() - attempt.sentAt);
+    latencies.recordReport(this.request.route, this.now() - attempt.sentAt);
   }
 
   /** The last leaf has reported: what is still missing has failed. */
-  private failIfOver(): void {
-    if (this.isDone || this.active.size > 0 || this.local !== undefined) return;
+  private failMissingIfEnded(): void {
+    if (this.isDone || this.active.size > 0 || this.localGather !== undefined) return;
     if (this.missing.size > 0) this.listener.onFailed([...this.missing]);
   }
 
-  private lose(attempt: LeafAttempt, link: LeafLink): void {
+  private handleLoss(attempt: LeafAttempt, link: LeafLink): void {
     this.mayHaveRun = true;
-    this.parts.pool.avoid(link.leaf);
-    if (!attempt.isGivenUp) this.spendAttempts(attempt);
-    this.isNextLeafDue = this.attemptsLeft > 0 && !this.maySendAgain;
+    this.context.pool.avoid(link.leaf);
+    if (!attempt.isReplaced) this.deductAttempts(attempt);
+    this.isNextLeafPending = this.attemptsLeft > 0 && !this.maySendAgain;
     this.endAttempt(attempt, 'lost');
   }
 
   /** Without a grant a leaf asks one replica of each shard. */
-  private spendAttempts({ isGranted }: LeafAttempt): void {
+  private deductAttempts({ isGranted }: LeafAttempt): void {
     this.attemptsLeft = isGranted ? 0 : this.attemptsLeft - 1;
   }
 
@@ -285,27 +290,27 @@
     attempt.endedAt = this.now();
     attempt.result = result;
     if (this.isDone || this.missing.size === 0 || this.active.size > 0) return;
-    if (!this.isNextLeafDue) this.askNext();
+    if (!this.isNextLeafPending) this.tryNextLeaf();
   }
 
   /** A leaf that has not reported in its usual time may be frozen or cut off: another is asked as well. */
-  private loseIfSilent(): void {
-    const { pool, rootContext } = this.parts;
+  private replaceSilentLeaf(): void {
+    const { pool, rootContext } = this.context;
     const [silent] = [...this.active].filter(({ hasReported }) => !hasReported);
     if (this.isDone || silent === undefined || this.attemptsLeft < 2) return;
-    this.isReplacementDue = !this.maySendAgain;
-    if (this.isReplacementDue) return;
+    this.isReplacementPending = !this.maySendAgain;
+    if (this.isReplacementPending) return;
     const leaf = this.group.leaves.find(({ name }) => name === silent.leaf);
     if (leaf !== undefined) pool.avoid(leaf);
     rootContext.metrics.gathersRepeated.inc();
-    const link = pool.choose(this.group, this.asked);
+    const link = pool.choose(this.group, this.triedLeaves);
     if (link === undefined) return;
-    this.spendAttempts(silent);
-    silent.isGivenUp = true;
-    this.askLeaf(link);
+    this.deductAttempts(silent);
+    silent.isReplaced = true;
+    this.sendToLeaf(link);
   }
 
   private now(): number {
-    return this.parts.rootContext.environment.clock.now();
+    return this.context.rootContext.environment.clock.now();
   }
 }
--- a/src/aggregation/leaf-attempt.ts
+++ b/src/aggregation/leaf-attempt.ts
@@ -13,7 +13,7 @@
   /** It may ask second replicas. */
   isGranted: boolean;
   /** Its attempts have been counted: another leaf was asked as well. */
-  isGivenUp: boolean;
+  isReplaced: boolean;
   sends: number;
   endedAt: number | undefined;
   result: string;
@@ -28,7 +28,7 @@
     hasReported: false,
     wantsGrant: false,
     isGranted: false,
-    isGivenUp: false,
+    isReplaced: false,
     sends: 0,
     endedAt: undefined,
     result: 'in flight',
--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -11,12 +11,12 @@
 import type { GatheredParts, PartListener } from '../gateway/part-source.js';
 import { ShardGather } from '../gateway/shard-gather.js';
 import { targetLatencyOf } from '../gateway/route-latencies.js';
-import { TIME_UP, UNOFFERED_PART } from '../gateway/forward-single.js';
+import { TIME_UP, NO_ATTEMPT_REFUSAL_FRACTION } from '../gateway/forward-single.js';
 import type { PartsMessage } from './aggregation-messages.js';
 import type { LeafSource } from './leaf-source.js';
 
 /** The grant is asked for at this part of the hedge delay, to be there when it is needed. */
-const GRANT_PART = 0.7;
+const GRANT_REQUEST_FRACTION = 0.7;
 
 /** What a leaf was asked to do. */
 export interface LeafGatherOptions {
@@ -55,11 +55,11 @@
   private unreported: GatheredParts[] = [];
   private answered = 0;
   private failed = 0;
-  private isPastReport = false;
-  private hasAskedForGrant = false;
+  private isReportTimePast = false;
+  private hasRequestedGrant = false;
   private isGranted = false;
   /** A second sending was due before the grant came. */
-  private isHedgeDue = false;
+  private isHedgePending = false;
   private isDone = false;
 
   constructor(
@@ -81,23 +81,25 @@
     const { route, deadline } = request;
     const { hedgeDelay } = this.context.latencies.of(route);
     this.timers.push(
-      clock.setTimer(hedgeDelay * GRANT_PART, () => this.askForGrant()),
-      this.reportTimer(),
-      clock.setTimer(targetLatencyOf(route) * UNOFFERED_PART, () => this.endUnoffered()),
+      clock.setTimer(hedgeDelay * GRANT_REQUEST_FRACTION, () => this.requestGrant()),
+      this.startReportTimer(),
+      clock.setTimer(targetLatencyOf(route) * NO_ATTEMPT_REFUSAL_FRACTION, () =>
+        this.endIfUnoffered(),
+      ),
       clock.setTimer(Math.max(0, deadline - clock.now()), () => this.end(TIME_UP)),
     );
     this.gather.start();
   }
 
   /** Reports by the time that the root wants it, earlier where timers run late here. */
-  private reportTimer(): Timer {
+  private startReportTimer(): Timer {
     const { environment, answerMargin } = this.context;
     const { clock } = environment;
-    const rest = Math.max(0, this.options.reportInMs - answerMargin.lag);
-    const dueAt = clock.now() + rest;
-    return clock.setTimer(rest, () => {
-      answerMargin.noteTimer(clock.now() - dueAt);
-      this.passReport();
+    const delayMs = Math.max(0, this.options.reportInMs - answerMargin.lag);
+    const dueAt = clock.now() + delayMs;
+    return clock.setTimer(delayMs, () => {
+      answerMargin.recordTimerLag(clock.now() - dueAt);
+      this.reportOnTime();
     });
   }
 
@@ -105,13 +107,13 @@
     if (this.isDone) return;
     this.unreported.push(parts);
     this.answered += parts.shards.length;
-    this.goOn();
+    this.reportProgress();
   }
 
   onFailed(shards: readonly string[]): void {
     if (this.isDone) return;
     this.failed += shards.length;
-    this.goOn();
+    this.reportProgress();
   }
 
   /** The root does not want the rest. */
@@ -123,35 +125,35 @@
   /** The root has given the shards to no other leaf, and will not. */
   grant(): void {
     this.isGranted = true;
-    if (this.isHedgeDue && !this.isDone) this.gather.hedge();
+    if (this.isHedgePending && !this.isDone) this.gather.hedge();
   }
 
   private maySendAgain(): boolean {
     if (this.isGranted) return true;
-    this.isHedgeDue = true;
-    this.askForGrant();
+    this.isHedgePending = true;
+    this.requestGrant();
     return false;
   }
 
   /** Also shows the root that this leaf lives. */
-  private askForGrant(): void {
-    if (this.hasAskedForGrant || this.isDone) return;
-    this.hasAskedForGrant = true;
+  private requestGrant(): void {
+    if (this.hasRequestedGrant || this.isDone) return;
+    this.hasRequestedGrant = true;
     this.report({ wantsGrant: true });
   }
 
-  private goOn(): void {
+  private reportProgress(): void {
     if (this.answered + this.failed === this.options.shards.length) this.end('all have ended');
-    else if (this.isPastReport) this.report({});
+    else if (this.isReportTimePast) this.report({});
   }
 
-  private passReport(): void {
-    this.isPastReport = true;
+  private reportOnTime(): void {
+    this.isReportTimePast = true;
     this.report({});
   }
 
-  private endUnoffered(): void {
-    if (!this.gather.isOffered) this.end('no replica has room');
+  private endIfUnoffered(): void {
+    if (!this.gather.mayHaveSent) this.end('no replica has room');
   }
 
   private end(reason: string): void {
@@ -173,7 +175,7 @@
       kind: 'parts',
       gatherId,
       shards: JSON.stringify(
-        parts.flatMap(({ shards }) => shards.map((shard) => this.place(shard))),
+        parts.flatMap(({ shards }) => shards.map((shard) => this.positionOf(shard))),
       ),
       signatures: JSON.stringify(parts.flatMap(({ signatures }) => signatures)),
       records: mergeRecords(
@@ -184,17 +186,17 @@
       wantsGrant,
       mayHaveRun: this.gather.mayRun,
       sends: this.gather.sends,
-      reason: this.failed > 0 || this.isCutShort ? reason : '',
+      reason: this.failed > 0 || this.isIncomplete ? reason : '',
       admittedPart: this.context.shedding.admittedPart(this.options.shards[0] ?? ''),
       gathersInProgress: gathersInProgress(),
     });
   }
 
-  private get isCutShort(): boolean {
+  private get isIncomplete(): boolean {
     return this.answered + this.failed < this.options.shards.length;
   }
 
-  private place(shard: string): number {
+  private positionOf(shard: string): number {
     return this.positions.get(shard) ?? 0;
   }
 
@@ -207,7 +209,7 @@
     this.gather.cancel(reason);
     if (missing > 0 || sends > shards.length) {
       const summary = { root, rootRouteVersion, shards: shards.length, missing, sends, reason };
-      this.context.decisions.gathered(request, this.gather, summary);
+      this.context.decisions.logGather(request, this.gather, summary);
     }
     this.options.onEnd();
   }
--- a/src/aggregation/leaf-group.ts
+++ b/src/aggregation/leaf-group.ts
@@ -10,7 +10,7 @@
  * The same where each zone asks its own replicas: every zone has owners of every group then, and
  * with as many of them a replica would be connected to by several times as many gateways.
  */
-export const NEAR_GROUP_OWNERS = 2;
+export const SAME_ZONE_GROUP_OWNERS = 2;
 
 /** See the module comment. */
 export interface LeafGroup {
--- a/src/aggregation/leaf-latencies.ts
+++ b/src/aggregation/leaf-latencies.ts
@@ -3,37 +3,40 @@
 import { LatencyDigest } from '../policies/latency-digest.js';
 import type { Route } from '../routes/route-document.js';
 
-const WINDOW = 400;
+const WINDOW_SAMPLES = 400;
 /** Below this many samples the bounds stand in. */
-const LEAST_SAMPLES = 60;
-const REFRESH_EVERY = 30;
+const MINIMUM_SAMPLES = 60;
+const REFRESH_EVERY_SAMPLES = 30;
 /** A report that is later than this part of them is unusual. */
 const LATE_QUANTILE = 0.98;
 /** Factor on that quantile: asking another leaf costs a second request to each shard of the group. */
 const LATE_FACTOR = 1.3;
 /** Parts of the route's target that bound the time after which another leaf is asked. */
-const SHORTEST_PART = 0.4;
-const LONGEST_PART = 0.65;
+const MINIMUM_TIMEOUT_FRACTION = 0.4;
+const MAXIMUM_TIMEOUT_FRACTION = 0.65;
 const MAXIMUM_ROUTES = 10_000;
 
 /** Of one route. Milliseconds. */
 class ReportLatency {
-  private readonly digest = new LatencyDigest(WINDOW);
+  private readonly digest = new LatencyDigest(WINDOW_SAMPLES);
   private samples = 0;
   /** Time after which another leaf is asked. */
-  patience: number;
+  timeoutMs: number;
 
-  constructor(private readonly target: number) {
-    this.patience = target * LONGEST_PART;
+  constructor(private readonly targetMs: number) {
+    this.timeoutMs = targetMs * MAXIMUM_TIMEOUT_FRACTION;
   }
 
-  add(latency: number): void {
-    this.digest.addReply(latency);
+  add(latencyMs: number): void {
+    this.digest.addReply(latencyMs);
     this.samples += 1;
-    if (this.samples < LEAST_SAMPLES || this.samples % REFRESH_EVERY !== 0) return;
+    if (this.samples < MINIMUM_SAMPLES || this.samples % REFRESH_EVERY_SAMPLES !== 0) return;
     const late = this.digest.quantile(LATE_QUANTILE) * LATE_FACTOR;
-    const { target } = this;
-    this.patience = Math.min(Math.max(late, target * SHORTEST_PART), target * LONGEST_PART);
+    const { targetMs: targetMs } = this;
+    this.timeoutMs = Math.min(
+      Math.max(late, targetMs * MINIMUM_TIMEOUT_FRACTION),
+      targetMs * MAXIMUM_TIMEOUT_FRACTION,
+    );
   }
 }
 
@@ -42,13 +45,13 @@
   private readonly byRoute = new Map<string, ReportLatency>();
 
   /** Time without a report after which another leaf is asked. Milliseconds. */
-  patience(route: Route): number {
-    return this.of(route).patience;
+  reportTimeoutMs(route: Route): number {
+    return this.of(route).timeoutMs;
   }
 
   /** A leaf reported for the first time. */
-  noteReport(route: Route, latency: number): void {
-    this.of(route).add(latency);
+  recordReport(route: Route, latencyMs: number): void {
+    this.of(route).add(latencyMs);
   }
 
   private of(route: Route): ReportLatency {
--- a/src/aggregation/leaf-link.ts
+++ b/src/aggregation/leaf-link.ts
@@ -25,10 +25,10 @@
 /** Longest time to open a connection; a leaf without power answers nothing. Milliseconds. */
 const DIAL_TIMEOUT_MS = 300;
 /** Pause before a leaf that could not be reached is dialled again; doubled each time, up to the most. Milliseconds. */
-const FIRST_REDIAL_MS = 200;
-const LONGEST_REDIAL_MS = 3_000;
+const INITIAL_BACKOFF_MS = 200;
+const MAXIMUM_BACKOFF_MS = 3_000;
 /** A leaf that had this long for a gather and said nothing is cut off or frozen. Milliseconds. */
-export const LONGEST_SILENCE_MS = 1_000;
+export const SILENCE_TIMEOUT_MS = 1_000;
 
 /** What the root hears of one gather. */
 export interface GatherListener {
@@ -39,7 +39,7 @@
 }
 
 /** What all links of a root share. */
-export interface LeafLinkParts {
+export interface LeafLinkOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly logger: Logger;
@@ -82,14 +82,14 @@
   private connection: MessageConnection | undefined;
   private isDialling = false;
   private isClosed = false;
-  private failures = 0;
-  private dialAfter = -Infinity;
+  private failedDials = 0;
+  private redialAt = -Infinity;
   private nextGatherId = 1;
-  private heardAt = -Infinity;
+  private lastReceivedAt = -Infinity;
   private readonly gathers = new Map<number, OpenGather>();
 
   constructor(
-    private readonly parts: LeafLinkParts,
+    private readonly options: LeafLinkOptions,
     readonly leaf: LeafGateway,
   ) {}
 
@@ -103,8 +103,8 @@
 
   /** Opens the connection, unless it is open or was lost a moment ago. */
   connect(): void {
-    const { clock } = this.parts.environment;
-    if (this.isOpen || this.isDialling || this.isClosed || clock.now() < this.dialAfter) return;
+    const { clock } = this.options.environment;
+    if (this.isOpen || this.isDialling || this.isClosed || clock.now() < this.redialAt) return;
     this.isDialling = true;
     void this.run();
   }
@@ -115,12 +115,12 @@
   }
 
   /** Closes a connection over which a gather has waited for too long; called now and then. */
-  checkSilence(): void {
-    const now = this.parts.environment.clock.now();
+  closeIfSilent(): void {
+    const now = this.options.environment.clock.now();
     const [oldest] = this.gathers.values();
     if (oldest === undefined) return;
-    const silentSince = Math.max(this.heardAt, oldest.startedAt);
-    if (now - silentSince > LONGEST_SILENCE_MS) this.connection?.close();
+    const silentSince = Math.max(this.lastReceivedAt, oldest.startedAt);
+    if (now - silentSince > SILENCE_TIMEOUT_MS) this.connection?.close();
   }
 
   /** Sends a gather; undefined while the connection is not open. */
@@ -130,7 +130,7 @@
     const gatherId = this.nextGatherId;
     this.nextGatherId += 1;
     const { request, shards, topRecords, ...terms } = call;
-    const startedAt = this.parts.environment.clock.now();
+    const startedAt = this.options.environment.clock.now();
     this.gathers.set(gatherId, { shards, topRecords, startedAt, listener });
     const text = JSON.stringify(shards);
     const gather = AGGREGATION_CODEC.encode({ gatherId, shards: text, ...terms });
@@ -155,18 +155,18 @@
   }
 
   private async run(): Promise<void> {
-    const { environment, identity, logger } = this.parts;
+    const { environment, identity, logger } = this.options;
     const { address: text, name } = this.leaf;
     let reason = 'closed by the leaf';
     try {
       const address = parseAddress(text);
       const target = { address, role: 'aggregation', connectTimeout: DIAL_TIMEOUT_MS } as const;
-      const connection = this.metered(await dial(environment, identity, target));
+      const connection = this.withMetering(await dial(environment, identity, target));
       this.isDialling = false;
       if (this.isClosed) connection.close();
       this.connection = connection;
       this.isStopping = false;
-      this.failures = 0;
+      this.failedDials = 0;
       await this.receive(connection);
     } catch (error) {
       reason = String(error);
@@ -175,27 +175,27 @@
     this.isDialling = false;
     this.connection?.close();
     this.connection = undefined;
-    this.pauseDialling();
+    this.startBackoff();
     if (wasOpen && !this.isClosed) logger.info('leaf lost', { leaf: name, reason });
-    this.loseGathers();
+    this.failGathers();
   }
 
-  private metered(connection: MessageConnection): MessageConnection {
-    const { traffic } = this.parts;
+  private withMetering(connection: MessageConnection): MessageConnection {
+    const { traffic } = this.options;
     return new MeteredConnection(connection, {
       kindOf: (frame) => `aggregation_${AGGREGATION_CODEC.kindOf(frame)}`,
       note: (note) => traffic.note(this.leaf.zone, note),
     });
   }
 
-  private pauseDialling(): void {
-    const { clock, random } = this.parts.environment;
-    const pause = Math.min(FIRST_REDIAL_MS * 2 ** this.failures, LONGEST_REDIAL_MS);
-    this.failures += 1;
-    this.dialAfter = clock.now() + pause * (0.5 + random.nextFloat() / 2);
+  private startBackoff(): void {
+    const { clock, random } = this.options.environment;
+    const backoff = Math.min(INITIAL_BACKOFF_MS * 2 ** this.failedDials, MAXIMUM_BACKOFF_MS);
+    this.failedDials += 1;
+    this.redialAt = clock.now() + backoff * (0.5 + random.nextFloat() / 2);
   }
 
-  private loseGathers(): void {
+  private failGathers(): void {
     const lost = [...this.gathers.values()];
     this.gathers.clear();
     for (const { listener } of lost) listener.onLost();
@@ -205,15 +205,15 @@
     for (;;) {
       const frame = await connection.receive();
       if (frame === undefined) return;
-      this.heardAt = this.parts.environment.clock.now();
-      this.take(AGGREGATION_CODEC.decode(frame, this.leaf.name));
+      this.lastReceivedAt = this.options.environment.clock.now();
+      this.handleMessage(AGGREGATION_CODEC.decode(frame, this.leaf.name));
     }
   }
 
-  private take(message: AggregationMessage): void {
+  private handleMessage(message: AggregationMessage): void {
     switch (message.kind) {
       case 'parts':
-        this.takeParts(message);
+        this.handleParts(message);
         return;
       case 'declined': {
         const gather = this.gathers.get(message.gatherId);
@@ -230,9 +230,9 @@
   }
 
   /** A report of a gather that was cancelled or has ended belongs to nobody. */
-  private takeParts(message: PartsMessage): void {
+  private handleParts(message: PartsMessage): void {
     this.reportedLoad = message.gathersInProgress;
-    this.reportedAt = this.heardAt;
+    this.reportedAt = this.lastReceivedAt;
     const gather = this.gathers.get(message.gatherId);
     if (gather === undefined) return;
     const parts = this.readParts(gather, message);
@@ -245,8 +245,8 @@
     const positions = readPositions(message.shards, gather.shards.length, name, 'shards');
     const signatures = readStrings(message.signatures, name, 'signatures');
     const { length } = message.records;
-    const isWhole = length % RECORD_BYTES === 0 && length <= gather.topRecords * RECORD_BYTES;
-    if (signatures.length !== positions.length || !isWhole) {
+    const isValidLength = length % RECORD_BYTES === 0 && length <= gather.topRecords * RECORD_BYTES;
+    if (signatures.length !== positions.length || !isValidLength) {
       throw new MalformedMessageError('hear leaf', name, 'parts and records do not fit');
     }
     const shards = positions.map((position) => gather.shards[position] ?? '');
--- a/src/aggregation/leaf-server.ts
+++ b/src/aggregation/leaf-server.ts
@@ -84,7 +84,7 @@
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) break;
-        this.takeFrame(session, AGGREGATION_CODEC.decodeBatch(frame, peer.name));
+        this.handleFrame(session, AGGREGATION_CODEC.decodeBatch(frame, peer.name));
       }
     } catch (error) {
       const reason = String(error);
@@ -101,19 +101,19 @@
     for (const session of this.sessions) session.send({ kind: 'stopping' });
   }
 
-  private takeFrame(session: RootSession, messages: readonly AggregationMessage[]): void {
+  private handleFrame(session: RootSession, messages: readonly AggregationMessage[]): void {
     const [first, second] = messages;
     const isGather = second?.kind === 'gather' || second?.kind === 'relay';
     if (first?.kind === 'request' && isGather && messages.length === 2) {
-      const reason = this.reasonToDecline;
+      const reason = this.declineReason;
       if (reason === undefined) this.begin(session, first, second);
       else this.decline(session, second.gatherId, reason);
       return;
     }
-    for (const message of messages) this.take(session, message);
+    for (const message of messages) this.handleMessage(session, message);
   }
 
-  private take(session: RootSession, message: AggregationMessage): void {
+  private handleMessage(session: RootSession, message: AggregationMessage): void {
     if (message.kind === 'cancel') {
       session.gathers.get(message.gatherId)?.cancel('the root does not need the rest');
       return;
@@ -125,7 +125,7 @@
     throw new MalformedMessageError('serve root', session.root, `unexpected ${message.kind}`);
   }
 
-  private get reasonToDecline(): string | undefined {
+  private get declineReason(): string | undefined {
     if (this.isStopping) return 'the leaf is stopping';
     if (this.options.table() === undefined) return 'the leaf has no route document yet';
     if (this.inProgress >= MAXIMUM_GATHERS) return 'the leaf has too many gathers';
@@ -148,7 +148,7 @@
       throw new MalformedMessageError('serve root', session.root, 'a gather number is used twice');
     }
     const shards = readStrings(message.shards, session.root, 'shards');
-    const callerRequest = this.toRequest(request, message, shards, session.root);
+    const callerRequest = this.createCallerRequest(request, message, shards, session.root);
     const isRelay = message.kind === 'relay';
     const gather = new LeafGather(this.options.context, {
       gatherId,
@@ -159,7 +159,7 @@
       reportInMs,
       root: session.root,
       rootRouteVersion: request.routeVersion,
-      relay: isRelay ? this.relayOf(callerRequest, request, message, shards) : undefined,
+      relay: isRelay ? this.createRelay(callerRequest, request, message, shards) : undefined,
       report: (parts) => session.send(parts),
       onEnd: () => session.gathers.delete(gatherId),
       gathersInProgress: () => this.inProgress,
@@ -169,7 +169,7 @@
     gather.start();
   }
 
-  private relayOf(
+  private createRelay(
     callerRequest: CallerRequest,
     request: RequestMessage,
     { isRepeat, reportInMs }: GatherMessage | RelayMessage,
@@ -184,7 +184,7 @@
       this.options.relay(callerRequest, { ...call, maySendAgain }, listener);
   }
 
-  private toRequest(
+  private createCallerRequest(
     request: RequestMessage,
     { leftMs, elapsedMs, maximumAttempts }: GatherMessage | RelayMessage,
     shards: string[],
--- a/src/aggregation/relayed-gather.ts
+++ b/src/aggregation/relayed-gather.ts
@@ -17,15 +17,15 @@
 
   /** The root has granted second sendings: what waits for that in any group goes on. */
   hedge(): void {
-    for (const group of this.groups) group.takeGrant();
+    for (const group of this.groups) group.handleGrant();
   }
 
   get sends(): number {
     return this.groups.reduce((sum, { sends }) => sum + sends, 0);
   }
 
-  get isOffered(): boolean {
-    return this.groups.some(({ isOffered }) => isOffered);
+  get mayHaveSent(): boolean {
+    return this.groups.some(({ mayHaveSent: isOffered }) => isOffered);
   }
 
   get mayRun(): boolean {
--- a/src/aggregation/far-groups.ts
+++ b/src/aggregation/relayed-groups.ts
@@ -5,43 +5,46 @@
  * root, after they have crossed between zones, and each group's request crosses once more.
  */
 import { rankFor, type LeafGateway } from '../directory/leaf-gateway.js';
-import type { RootPlace } from './group-home.js';
-import { NEAR_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
+import type { RootLocation } from './zone-selection.js';
+import { SAME_ZONE_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
 
 /** A relay is one more gateway on the way: fewer groups are handed to their leaves directly. */
-const LEAST_RELAYED_GROUPS = 3;
+const MINIMUM_RELAYED_GROUPS = 3;
 
 /** What groups are joined by. */
-export interface FarGroupsQuery {
-  readonly root: RootPlace;
+export interface RelayOptions {
+  readonly root: RootLocation;
   /** Zones in the root's order of preference. */
-  readonly preferred: readonly string[];
+  readonly rankedZones: readonly string[];
   readonly leaves: readonly LeafGateway[];
 }
 
 /** `groups` with those of another zone than the root's joined, where they are many. */
-export function joinFarGroups(groups: readonly LeafGroup[], query: FarGroupsQuery): LeafGroup[] {
+export function mergeRemoteGroups(
+  groups: readonly LeafGroup[],
+  options: RelayOptions,
+): LeafGroup[] {
   const zones = [...new Set(groups.map(({ zone }) => zone))];
   return zones.flatMap((zone) => {
     const members = groups.filter((group) => group.zone === zone);
-    const isFar = zone !== query.root.zone && members.length >= LEAST_RELAYED_GROUPS;
-    return isFar ? [relayedGroup(zone, members, query)] : members;
+    const needsRelay = zone !== options.root.zone && members.length >= MINIMUM_RELAYED_GROUPS;
+    return needsRelay ? [createRelayedGroup(zone, members, options)] : members;
   });
 }
 
-function relayedGroup(
+function createRelayedGroup(
   zone: string,
   members: readonly LeafGroup[],
-  { root, preferred, leaves }: FarGroupsQuery,
+  { root, rankedZones: rankedZones, leaves }: RelayOptions,
 ): LeafGroup {
   // By the root's name: every leaf of the zone relays for some roots.
   const ranked = rankFor(root.name, leaves, ({ name }) => name);
-  const near = ranked.filter((leaf) => leaf.zone === zone);
-  const rest = ranked.filter((leaf) => leaf.zone !== zone && leaf.zone !== root.zone);
-  const place = ({ zone: other }: LeafGateway): number => preferred.indexOf(other);
-  rest.sort((left, right) => place(left) - place(right));
-  const [standBy, ...others] = rest;
-  const owners = near.slice(0, NEAR_GROUP_OWNERS);
+  const leavesInZone = ranked.filter((leaf) => leaf.zone === zone);
+  const leavesElsewhere = ranked.filter((leaf) => leaf.zone !== zone && leaf.zone !== root.zone);
+  const zoneRank = ({ zone: other }: LeafGateway): number => rankedZones.indexOf(other);
+  leavesElsewhere.sort((left, right) => zoneRank(left) - zoneRank(right));
+  const [standby, ...others] = leavesElsewhere;
+  const owners = leavesInZone.slice(0, SAME_ZONE_GROUP_OWNERS);
   return {
     zone,
     shards: members.flatMap(({ shards }) => shards),
@@ -50,8 +53,8 @@
     // The first to stand by is of another zone: this one may be lost as a whole.
     leaves: [
       ...owners,
-      ...(standBy === undefined ? [] : [standBy]),
-      ...near.slice(NEAR_GROUP_OWNERS),
+      ...(standby === undefined ? [] : [standby]),
+      ...leavesInZone.slice(SAME_ZONE_GROUP_OWNERS),
       ...others,
     ],
   };
--- a/src/aggregation/source-planner.ts
+++ b/src/aggregation/source-planner.ts
@@ -7,14 +7,14 @@
 import type { PartListener, PartSource } from '../gateway/part-source.js';
 import { ShardGather } from '../gateway/shard-gather.js';
 import { encodeRequest } from './encode-request.js';
-import { GroupGather, type GroupGatherParts } from './group-gather.js';
+import { GroupGather, type GroupGatherContext } from './group-gather.js';
 import type { LeafAssignment } from './leaf-assignment.js';
 import type { LeafGroup } from './leaf-group.js';
 import type { LeafSource } from './leaf-source.js';
 import { RelayedGather } from './relayed-gather.js';
 
 /** What the planner goes by. */
-export interface SourcePlannerOptions extends GroupGatherParts {
+export interface SourcePlannerOptions extends GroupGatherContext {
   readonly assignment: LeafAssignment;
   /** Requests to more shards than this are divided; Infinity divides none. */
   readonly divideAbove: number;
@@ -34,7 +34,7 @@
 }
 
 /** Shards that are asked from here, as no leaf is known. */
-function wholeGroup(shards: readonly string[]): LeafGroup {
+function undividedGroup(shards: readonly string[]): LeafGroup {
   return { zone: '', shards, isRelayed: false, owners: 0, leaves: [] };
 }
 
@@ -55,12 +55,12 @@
     const { rootContext, assignment } = this.options;
     const totalShards = shards.length;
     // Only what may run twice may be given to a leaf that can be lost.
-    const mayRunTwice = request.route.execution === 'repeatable';
+    const isRepeatable = request.route.execution === 'repeatable';
     // A leaf of another region must not see a request that is to stay in some.
-    const mayGoAnywhere = !rootContext.regions.restricts(request.route);
+    const isUnrestricted = !rootContext.regions.restricts(request.route);
     // Where it is tried on one replica alone, one gateway has to see what becomes of it.
     const isSuspected = rootContext.crashGuard.isSuspected(request.fingerprint);
-    const mayDivide = mayRunTwice && mayGoAnywhere && !isSuspected && this.isDivided(shards);
+    const mayDivide = isRepeatable && isUnrestricted && !isSuspected && this.isDivided(shards);
     const groups = mayDivide ? assignment.groupsOf(shards) : [];
     if (groups.length === 0) {
       const options = { shards, totalShards, isRepeat: false };
@@ -76,19 +76,22 @@
   /** Has the shards that a root gave to this gateway as a relay asked by leaves. */
   relay(request: CallerRequest, call: RelayedCall, listener: PartListener): LeafSource {
     const { shards, ...options } = call;
-    const groups = this.groupsAmong(request, shards).map(
+    const groups = this.groupsContaining(request, shards).map(
       (group) => new GroupGather(this.options, request, { group, ...options }, listener),
     );
     return new RelayedGather(groups);
   }
 
   /** By the groups of the list that the shards are of, which are known: to divide a list takes long. */
-  private groupsAmong(request: CallerRequest, shards: readonly string[]): readonly LeafGroup[] {
+  private groupsContaining(
+    request: CallerRequest,
+    shards: readonly string[],
+  ): readonly LeafGroup[] {
     const { assignment } = this.options;
     const lists = request.table.shardLists;
     const list = lists.find((known) => shards.every((shard) => known.has(shard)));
     const groups = assignment.directGroupsOf(list?.shards ?? shards);
-    if (groups.length === 0) return [wholeGroup(shards)];
+    if (groups.length === 0) return [undividedGroup(shards)];
     const wanted = new Set(shards);
     return groups.flatMap((group) => {
       const part = group.shards.filter((shard) => wanted.has(shard));
--- a/src/aggregation/group-home.ts
+++ b/src/aggregation/zone-selection.ts
@@ -6,7 +6,7 @@
 import { rankFor } from '../directory/leaf-gateway.js';
 
 /** Where a root stands. */
-export interface RootPlace {
+export interface RootLocation {
   /** Name of the gateway. */
   readonly name: string;
   readonly zone: string;
@@ -17,13 +17,16 @@
  * name, so that the roots of a zone divide over the others what it lacks. One order for all
  * shards: what a root asks far is asked in few zones.
  */
-export function preferZones({ name, zone }: RootPlace, zones: readonly string[]): string[] {
+export function rankZones({ name, zone }: RootLocation, zones: readonly string[]): string[] {
   const others = zones.filter((other) => other !== zone);
   const ranked = rankFor(name, others, (other) => other);
   return zones.includes(zone) ? [zone, ...ranked] : ranked;
 }
 
 /** The first of the `preferred` zones that is among `holders`; the first of all when none is. */
-export function homeOf(preferred: readonly string[], holders: ReadonlySet<string>): string {
-  return preferred.find((zone) => holders.has(zone)) ?? preferred[0] ?? '';
+export function selectZone(
+  rankedZones: readonly string[],
+  replicaZones: ReadonlySet<string>,
+): string {
+  return rankedZones.find((zone) => replicaZones.has(zone)) ?? rankedZones[0] ?? '';
 }
--- a/src/control/evacuation-endpoint.ts
+++ b/src/control/evacuation-endpoint.ts
@@ -41,7 +41,7 @@
 
   private async give(zone: string, isEvacuated: boolean): Promise<HttpResponse> {
     try {
-      const { status, revision } = await this.orders.give({ zone, isEvacuated });
+      const { status, revision } = await this.orders.submit({ zone, isEvacuated });
       return jsonResponse(200, { zone, evacuated: isEvacuated, status, revision });
     } catch (error) {
       return answerTo(error);
@@ -50,7 +50,7 @@
 
   private async list(): Promise<HttpResponse> {
     try {
-      return jsonResponse(200, { zones: await this.orders.read() });
+      return jsonResponse(200, { zones: await this.orders.readZones() });
     } catch (error) {
       return errorResponse(503, `cannot be sure of the newest: ${String(error)}`);
     }
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -117,7 +117,7 @@
       document: () => register.current(),
       evacuations: () => evacuations.all(),
       quarantine,
-      onCrashEvidence: (change) => intake.take(change),
+      onCrashEvidence: (change) => intake.submit(change),
       members: () => log.status().members,
       ownName: identity.name,
       ownZone: zone,
@@ -266,7 +266,7 @@
   private noteRoutes(): void {
     const document = this.options.register.current();
     if (document === undefined) return;
-    this.routeHistory.note(document.version, this.options.environment.clock.now());
+    this.routeHistory.record(document.version, this.options.environment.clock.now());
   }
 
   /** See `StatusMessage.ageMs`. */
--- a/src/directory/directory-server.ts
+++ b/src/directory/directory-server.ts
@@ -212,7 +212,7 @@
   }: DirectorySession): GatewayRoutes {
     const { clock, routeHistory } = this.sources;
     const { name: gateway, zone } = subscriber;
-    const since = routeHistory.newerSince(version);
+    const since = routeHistory.supersededAt(version);
     const lackingMs = since === undefined ? undefined : clock.now() - since;
     return { gateway, zone, version, lackingMs, owedBy: this.controllers.responsibleFor(zone) };
   }
--- a/src/directory/directory-session.ts
+++ b/src/directory/directory-session.ts
@@ -107,7 +107,7 @@
     const { clock, ownZone, routeHistory, isFirstFor } = sources;
     // Controllers have it from the replicated log.
     if (this.kind !== SubscriberKind.Gateway) return Infinity;
-    const lackingSince = routeHistory.newerSince(this.heldVersion);
+    const lackingSince = routeHistory.supersededAt(this.heldVersion);
     if (lackingSince === undefined) return Infinity;
     const isFar = this.subscriber.zone !== ownZone;
     if (!isFar || this.confirmedDocumentVersion === NO_DOCUMENT) return 0;
--- a/src/evacuations/evacuated-zones.ts
+++ b/src/evacuations/evacuated-zones.ts
@@ -3,7 +3,7 @@
 
 /** See the module comment. Older word never replaces newer, whoever sends it. */
 export class EvacuatedZones {
-  private readonly byZone = new Map<string, ZoneEvacuation>();
+  private readonly latestByZone = new Map<string, ZoneEvacuation>();
   private evacuated: ReadonlySet<string> = new Set();
 
   /** Zones to whose replicas nothing new may go. */
@@ -12,11 +12,11 @@
   }
 
   /** Takes a controller's word; true when it was newer than what was known. */
-  take(word: ZoneEvacuation): boolean {
-    const known = this.byZone.get(word.zone);
-    if (known !== undefined && known.revision >= word.revision) return false;
-    this.byZone.set(word.zone, word);
-    const evacuated = [...this.byZone.values()].filter(({ isEvacuated }) => isEvacuated);
+  update(evacuation: ZoneEvacuation): boolean {
+    const known = this.latestByZone.get(evacuation.zone);
+    if (known !== undefined && known.revision >= evacuation.revision) return false;
+    this.latestByZone.set(evacuation.zone, evacuation);
+    const evacuated = [...this.latestByZone.values()].filter(({ isEvacuated }) => isEvacuated);
     this.evacuated = new Set(evacuated.map(({ zone }) => zone));
     return true;
   }
--- a/src/evacuations/evacuation-orders.ts
+++ b/src/evacuations/evacuation-orders.ts
@@ -23,7 +23,7 @@
   }
 }
 
-function unknownZone(zone: string): EvacuationRefusedError {
+function unknownZoneError(zone: string): EvacuationRefusedError {
   return new EvacuationRefusedError(`there is no zone "${zone}"`);
 }
 
@@ -47,8 +47,8 @@
    * @throws NotProposedError when nothing was changed.
    * @throws ProposalOutcomeUnknownError when the order may still be carried out.
    */
-  async give(order: EvacuationOrder): Promise<EvacuationOutcome> {
-    this.check(order.zone);
+  async submit(order: EvacuationOrder): Promise<EvacuationOutcome> {
+    this.checkZone(order.zone);
     const command = sectionCommand(SectionTag.Evacuations, encodeEvacuationOrder(order));
     const { result } = await this.options.log.propose(command);
     const outcome = decodeEvacuationOutcome(result);
@@ -64,20 +64,20 @@
    *
    * @throws NoQuorumError when this controller may lack some of them.
    */
-  async read(): Promise<readonly string[]> {
+  async readZones(): Promise<readonly string[]> {
     await this.options.log.readBarrier();
-    return this.applied();
+    return this.appliedZones();
   }
 
   /** The evacuated zones as far as orders are applied here. */
-  applied(): string[] {
+  appliedZones(): string[] {
     return this.options.register.evacuatedZones();
   }
 
-  private check(zone: string): void {
+  private checkZone(zone: string): void {
     const { knownZones } = this.options;
-    const isNamed = zone.length > 0 && zone.length <= MAXIMUM_ZONE_LENGTH;
+    const hasValidLength = zone.length > 0 && zone.length <= MAXIMUM_ZONE_LENGTH;
     const isKnown = knownZones.size === 0 || knownZones.has(zone);
-    if (!isNamed || !isKnown) throw unknownZone(zone);
+    if (!hasValidLength || !isKnown) throw unknownZoneError(zone);
   }
 }
--- a/src/evacuations/evacuation-register.ts
+++ b/src/evacuations/evacuation-register.ts
@@ -86,7 +86,7 @@
   }
 
   apply(command: Uint8Array): Uint8Array {
-    return outcomeType.encode(this.take(orderType.decode(asBuffer(command))));
+    return outcomeType.encode(this.applyOrder(orderType.decode(asBuffer(command))));
   }
 
   snapshot(): Uint8Array {
@@ -102,7 +102,7 @@
     this.emit();
   }
 
-  private take({ zone, isEvacuated }: EvacuationOrder): EvacuationOutcome {
+  private applyOrder({ zone, isEvacuated }: EvacuationOrder): EvacuationOutcome {
     const known = this.entries.get(zone);
     if ((known?.isEvacuated ?? false) === isEvacuated) {
       return { status: EvacuationOrderStatus.Unchanged, revision: known?.revision ?? 0 };
--- a/src/gateway/create-directory-client.ts
+++ b/src/gateway/create-directory-client.ts
@@ -11,7 +11,7 @@
 import type { Environment } from '../seams/environment.js';
 
 /** Controllers that a gateway follows: one near, and one in case that it is lost. */
-const FOLLOWED_CONTROLLERS = 2;
+const CONTROLLERS_TO_FOLLOW = 2;
 
 /** What the client is made of. */
 export interface GatewayDirectoryOptions {
@@ -29,7 +29,7 @@
   const { zone, controllers, listen } = configuration;
   const client = new DirectoryClient({
     ...parts,
-    followed: FOLLOWED_CONTROLLERS,
+    followed: CONTROLLERS_TO_FOLLOW,
     ...(listen.messages === undefined ? {} : { gatherAddress: formatAddress(listen.messages) }),
     subscriberKind: SubscriberKind.Gateway,
     zone,
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -6,7 +6,7 @@
 
 /** See the module comment. */
 export class EvacuationsInForce {
-  private readonly known = new EvacuatedZones();
+  private readonly evacuatedZones = new EvacuatedZones();
 
   constructor(
     private readonly context: Pick<GatewayContext, 'targets' | 'metrics'>,
@@ -15,9 +15,9 @@
 
   /** A controller told of the last order about a zone; older word than is known changes nothing. */
   take(evacuation: ZoneEvacuation): void {
-    if (!this.known.take(evacuation)) return;
-    const { zones } = this.known;
-    this.context.targets.useEvacuatedZones(zones);
+    if (!this.evacuatedZones.update(evacuation)) return;
+    const { zones } = this.evacuatedZones;
+    this.context.targets.setEvacuatedZones(zones);
     this.context.metrics.evacuatedZones.set(zones.size);
     const { zone, isEvacuated, revision } = evacuation;
     this.logger.info('evacuation in force', { zone, isEvacuated, revision });
--- a/src/gateway/fan-out.ts
+++ b/src/gateway/fan-out.ts
@@ -5,7 +5,7 @@
 import type { HttpResponse } from '../seams/http.js';
 import type { Timer } from '../seams/clock.js';
 import { priorityOf, type CallerRequest } from './caller-request.js';
-import { CALLER_GONE, TIME_UP, UNOFFERED_PART } from './forward-single.js';
+import { CALLER_GONE, TIME_UP, NO_ATTEMPT_REFUSAL_FRACTION } from './forward-single.js';
 import { GatewayRefusal, QUARANTINED, refuse, refuseNotRun } from './gateway-answers.js';
 import type { GatewayContext } from './gateway-context.js';
 import { mergeRecords } from './merge-records.js';
@@ -13,7 +13,7 @@
 import { targetLatencyOf } from './route-latencies.js';
 
 /** Absorbs what fractions such as 0.89 lose in binary. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 /** Decides who asks the shards of a request; the sources report to `listener`. */
 export type PlanSources = (
@@ -23,7 +23,7 @@
 ) => readonly PartSource[];
 
 /** What is said of a request that a replica may have run: never that it was not run. */
-function refusalOfRun(refusal: GatewayRefusal): GatewayRefusal {
+function refusalAfterPossibleRun(refusal: GatewayRefusal): GatewayRefusal {
   return refusal === GatewayRefusal.NotRun ? GatewayRefusal.Failed : refusal;
 }
 
@@ -31,13 +31,13 @@
 export class FanOut implements PartListener {
   private sources: readonly PartSource[] = [];
   private readonly parts: GatheredParts[] = [];
-  private readonly answered = new Set<string>();
-  private readonly failed = new Set<string>();
+  private readonly answeredShards = new Set<string>();
+  private readonly failedShards = new Set<string>();
   private readonly timers: Timer[] = [];
   private isPastCutOff = false;
   private isDone = false;
   private resolve!: (response: HttpResponse) => void;
-  private readonly onGone = (): void => this.giveUp(GatewayRefusal.Failed, CALLER_GONE);
+  private readonly onCallerGone = (): void => this.giveUp(GatewayRefusal.Failed, CALLER_GONE);
 
   constructor(
     private readonly context: GatewayContext,
@@ -50,7 +50,7 @@
   run(): Promise<HttpResponse> {
     return new Promise((resolve) => {
       this.resolve = resolve;
-      if (this.reachable < this.required) {
+      if (this.reachableShards < this.requiredShards) {
         this.giveUp(GatewayRefusal.NotRun, 'too few shards have a replica');
         return;
       }
@@ -58,7 +58,7 @@
         this.giveUp(GatewayRefusal.NotRun, 'the replicas are overloaded');
         return;
       }
-      this.request.signal.addEventListener('abort', this.onGone, { once: true });
+      this.request.signal.addEventListener('abort', this.onCallerGone, { once: true });
       this.startTimers();
       this.startSources();
     });
@@ -67,14 +67,14 @@
   onParts(parts: GatheredParts): void {
     if (this.isDone) return;
     this.parts.push(parts);
-    for (const shard of parts.shards) this.answered.add(shard);
-    this.judge();
+    for (const shard of parts.shards) this.answeredShards.add(shard);
+    this.finishIfDecided();
   }
 
   onFailed(shards: readonly string[]): void {
     if (this.isDone) return;
-    for (const shard of shards) this.failed.add(shard);
-    this.judge();
+    for (const shard of shards) this.failedShards.add(shard);
+    this.finishIfDecided();
   }
 
   private get isAdmitted(): boolean {
@@ -83,13 +83,13 @@
   }
 
   /** Shards that an answer must hold. */
-  private get required(): number {
+  private get requiredShards(): number {
     const coverage = this.request.route.requiredCoverage ?? 1;
-    return Math.max(1, Math.ceil(coverage * this.shards.length - ROUNDING));
+    return Math.max(1, Math.ceil(coverage * this.shards.length - ROUNDING_TOLERANCE));
   }
 
   /** Shards of which any replica is known. */
-  private get reachable(): number {
+  private get reachableShards(): number {
     const { regions, targets } = this.context;
     const { route } = this.request;
     return this.shards.filter((shard) => regions.permitted(route, targets.of(shard)).length > 0)
@@ -106,8 +106,8 @@
       this.timers.push(clock.setTimer(cutOffAt - clock.now(), () => this.cutOff(cutOffAt)));
     }
     this.timers.push(
-      clock.setTimer(target * UNOFFERED_PART, () => this.refuseUnoffered()),
-      clock.setTimer(deadline - clock.now(), () => this.timeOut()),
+      clock.setTimer(target * NO_ATTEMPT_REFUSAL_FRACTION, () => this.refuseIfNotAttempted()),
+      clock.setTimer(deadline - clock.now(), () => this.onDeadline()),
     );
   }
 
@@ -121,28 +121,28 @@
 
   /** From here on an answer that is good enough is worth more than the wait for the rest. */
   private cutOff(dueAt: number): void {
-    this.context.answerMargin.noteTimer(this.context.environment.clock.now() - dueAt);
+    this.context.answerMargin.recordTimerLag(this.context.environment.clock.now() - dueAt);
     this.isPastCutOff = true;
-    this.judge();
+    this.finishIfDecided();
   }
 
-  private refuseUnoffered(): void {
-    const isOffered = this.sources.some((source) => source.isOffered);
+  private refuseIfNotAttempted(): void {
+    const isOffered = this.sources.some((source) => source.mayHaveSent);
     if (!isOffered) this.giveUp(GatewayRefusal.NotRun, 'no replica has room');
   }
 
-  private timeOut(): void {
-    if (this.answered.size >= this.required) this.answer();
+  private onDeadline(): void {
+    if (this.answeredShards.size >= this.requiredShards) this.answer();
     else this.giveUp(GatewayRefusal.TimedOut, TIME_UP);
   }
 
-  private judge(): void {
+  private finishIfDecided(): void {
     if (this.isDone) return;
     const total = this.shards.length;
-    const isEnough = this.answered.size >= this.required;
-    const isComplete = this.answered.size + this.failed.size === total;
+    const isEnough = this.answeredShards.size >= this.requiredShards;
+    const isComplete = this.answeredShards.size + this.failedShards.size === total;
     if (isEnough && (isComplete || this.isPastCutOff)) this.answer();
-    else if (total - this.failed.size < this.required) {
+    else if (total - this.failedShards.size < this.requiredShards) {
       this.giveUp(GatewayRefusal.Failed, 'too many shards failed');
     }
   }
@@ -159,31 +159,31 @@
       'content-type': 'application/octet-stream',
       [requestId]: this.request.id,
       [partSignatures]: signatures.join(', '),
-      [missingParts]: String(this.shards.length - this.answered.size),
+      [missingParts]: String(this.shards.length - this.answeredShards.size),
     };
     this.finish({ status: 200, headers, body }, 'enough parts are in');
   }
 
   private giveUp(refusal: GatewayRefusal, reason: string): void {
     if (this.isDone) return;
-    const mayRun = this.answered.size > 0 || this.sources.some((source) => source.mayRun);
+    const mayRun = this.answeredShards.size > 0 || this.sources.some((source) => source.mayRun);
     const { crashGuard } = this.context;
     const isQuarantined = crashGuard.isQuarantined(this.request.fingerprint);
     const cause = isQuarantined ? QUARANTINED : reason;
-    const response = mayRun ? refuse(refusalOfRun(refusal), cause) : refuseNotRun(cause);
+    const response = mayRun ? refuse(refusalAfterPossibleRun(refusal), cause) : refuseNotRun(cause);
     this.finish(response, cause);
   }
 
   private finish(response: HttpResponse, reason: string): void {
     this.isDone = true;
     for (const timer of this.timers) timer.cancel();
-    this.request.signal.removeEventListener('abort', this.onGone);
+    this.request.signal.removeEventListener('abort', this.onCallerGone);
     for (const source of this.sources) source.cancel(reason);
-    this.context.decisions.fannedOut(this.request, {
+    this.context.decisions.logFanOut(this.request, {
       status: response.status,
       reason,
       shards: this.shards.length,
-      missing: this.shards.length - this.answered.size,
+      missing: this.shards.length - this.answeredShards.size,
       sends: this.sources.reduce((sum, source) => sum + source.sends, 0),
       sources: this.sources,
     });
--- a/src/gateway/forward-single.ts
+++ b/src/gateway/forward-single.ts
@@ -2,7 +2,7 @@
 import type { Timer } from '../seams/clock.js';
 import type { HttpResponse } from '../seams/http.js';
 import type { CallerRequest } from './caller-request.js';
-import { longestConnect, longestUnsent } from './connect-bounds.js';
+import { connectTimeout, sendTimeout } from './connect-timeouts.js';
 import { GatewayRefusal, refuse, refuseNotRun } from './gateway-answers.js';
 import type { GatewayContext } from './gateway-context.js';
 import { targetLatencyOf } from './route-latencies.js';
@@ -12,7 +12,7 @@
 import { ReplicaRace } from './replica-race.js';
 
 /** A request that no replica could take within this part of its target is refused as not run. */
-export const UNOFFERED_PART = 0.2;
+export const NO_ATTEMPT_REFUSAL_FRACTION = 0.2;
 
 /** Why a request ends although attempts are in flight. */
 export const TIME_UP = 'the time is up';
@@ -25,7 +25,7 @@
   private readonly startedAt: number;
   private readonly targetLatency: number;
   private timers: readonly Timer[] = [];
-  private isTimeUp = false;
+  private isDeadlinePassed = false;
 
   constructor(
     private readonly context: GatewayContext,
@@ -35,23 +35,23 @@
   ) {
     this.startedAt = context.environment.clock.now();
     this.targetLatency = targetLatencyOf(request.route);
-    const offeredBy = request.receivedAt + this.targetLatency * UNOFFERED_PART;
-    this.admission = new SingleAdmission(context, request, service, offeredBy);
+    const sendDeadline = request.receivedAt + this.targetLatency * NO_ATTEMPT_REFUSAL_FRACTION;
+    this.admission = new SingleAdmission(context, request, service, sendDeadline);
     this.race = new ReplicaRace(context, request, {
       service,
       latency: this.latency,
-      stake: 1,
+      valueFraction: 1,
       isRepeat: false,
-      retryUntil: offeredBy,
-      leavesEndedReplicas: context.mechanisms.endedReplicas,
-      connectWithin: context.mechanisms.boundedConnecting ? this.connectWithin : undefined,
+      retryDeadline: sendDeadline,
+      abortsOnReplacement: context.mechanisms.endedReplicas,
+      connectTimeout: context.mechanisms.boundedConnecting ? this.connectWithin : undefined,
       onEnd: this.onEnd,
     });
   }
 
   start(): void {
     this.setTimers();
-    this.request.signal.addEventListener('abort', this.onGone, { once: true });
+    this.request.signal.addEventListener('abort', this.onCallerGone, { once: true });
     const { refusal } = this.admission;
     if (refusal === undefined) this.race.start();
     else this.race.refuse(refusal);
@@ -64,9 +64,9 @@
   private setTimers(): void {
     const { clock } = this.context.environment;
     this.timers = [
-      clock.setTimer(this.targetLatency * UNOFFERED_PART, this.onUnoffered),
-      clock.setTimer(longestUnsent(this.targetLatency), this.onUnsent),
-      clock.setTimer(this.latency.hedgeDelay, this.onLate),
+      clock.setTimer(this.targetLatency * NO_ATTEMPT_REFUSAL_FRACTION, this.refuseIfNotAttempted),
+      clock.setTimer(sendTimeout(this.targetLatency), this.refuseIfUnconnected),
+      clock.setTimer(this.latency.hedgeDelay, this.onHedgeDelay),
       clock.setTimer(this.request.deadline - clock.now(), this.onDeadline),
     ];
   }
@@ -74,28 +74,28 @@
   /** From when it could first be sent: what came before that is no fault of a replica. */
   private readonly connectWithin = (): number => {
     const elapsed = this.context.environment.clock.now() - this.startedAt;
-    return longestConnect(this.targetLatency, this.race.wasOffered ? undefined : elapsed);
+    return connectTimeout(this.targetLatency, this.race.wasSent ? undefined : elapsed);
   };
 
-  private readonly onUnoffered = (): void => {
+  private readonly refuseIfNotAttempted = (): void => {
     if (this.race.sends === 0) this.giveUp('no replica has room');
   };
 
-  private readonly onUnsent = (): void => {
+  private readonly refuseIfUnconnected = (): void => {
     const isBounded = this.context.mechanisms.boundedConnecting;
-    if (isBounded && !this.race.wasOffered) this.giveUp('no connection to a replica in time');
+    if (isBounded && !this.race.wasSent) this.giveUp('no connection to a replica in time');
   };
 
-  private readonly onLate = (): void => {
+  private readonly onHedgeDelay = (): void => {
     if (this.race.hedge()) this.context.metrics.hedges.inc();
   };
 
   private readonly onDeadline = (): void => {
-    this.isTimeUp = true;
+    this.isDeadlinePassed = true;
     this.giveUp(TIME_UP);
   };
 
-  private readonly onGone = (): void => this.giveUp(CALLER_GONE);
+  private readonly onCallerGone = (): void => this.giveUp(CALLER_GONE);
 
   private giveUp(reason: string): void {
     if (this.race.outcome !== undefined) return;
@@ -105,17 +105,17 @@
 
   private readonly onEnd = (race: ReplicaRace): void => {
     for (const timer of this.timers) timer.cancel();
-    this.request.signal.removeEventListener('abort', this.onGone);
+    this.request.signal.removeEventListener('abort', this.onCallerGone);
     const outcome = race.outcome as RaceOutcome;
-    this.context.decisions.attempted(this.request, race, outcome);
-    this.resolve(this.answerOf(outcome));
+    this.context.decisions.logSingleRequest(this.request, race, outcome);
+    this.resolve(this.responseOf(outcome));
   };
 
-  private answerOf(outcome: RaceOutcome): HttpResponse {
+  private responseOf(outcome: RaceOutcome): HttpResponse {
     if (outcome.answer !== undefined) return outcome.answer;
     if (outcome.kind === 'answered') throw new Error('an answered race has an answer');
     if (!outcome.mayHaveRun) return refuseNotRun(outcome.reason, this.admission.retryAfterMs);
-    const refusal = this.isTimeUp ? GatewayRefusal.TimedOut : GatewayRefusal.Failed;
+    const refusal = this.isDeadlinePassed ? GatewayRefusal.TimedOut : GatewayRefusal.Failed;
     return refuse(refusal, outcome.reason);
   }
 }
--- a/src/gateway/gateway-answers.ts
+++ b/src/gateway/gateway-answers.ts
@@ -55,10 +55,10 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 /** Digits of a fraction of a second that callers are told: hundredths. */
-const RETRY_AFTER_DIGITS = 2;
+const RETRY_AFTER_DECIMALS = 2;
 
-function inSeconds(milliseconds: number): string {
-  return (milliseconds / MILLISECONDS_PER_SECOND).toFixed(RETRY_AFTER_DIGITS);
+function formatSeconds(milliseconds: number): string {
+  return (milliseconds / MILLISECONDS_PER_SECOND).toFixed(RETRY_AFTER_DECIMALS);
 }
 
 /** The answer for a refusal; `retryAfterMs` where it is known when the caller may come back. */
@@ -67,7 +67,8 @@
   reason: string,
   retryAfterMs?: number,
 ): HttpResponse {
-  const retryAfter = retryAfterMs === undefined ? RETRY_AFTER_S[refusal] : inSeconds(retryAfterMs);
+  const retryAfter =
+    retryAfterMs === undefined ? RETRY_AFTER_S[refusal] : formatSeconds(retryAfterMs);
   return {
     status: STATUSES[refusal],
     headers: {
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -30,9 +30,9 @@
 import type { GatewayContext } from './gateway-context.js';
 import { GatewayEndpoint } from './gateway-endpoint.js';
 import { GatewayTenants } from './gateway-tenants.js';
-import { GatewayUpkeep } from './gateway-upkeep.js';
-import { HEALTH_OPTIONS, HealthEndpoint } from './health-endpoint.js';
-import { answerBeforeStop } from './planned-stop.js';
+import { GatewayMaintenance } from './gateway-maintenance.js';
+import { HEALTH_LISTENER_OPTIONS, HealthEndpoint } from './health-endpoint.js';
+import { drainCallers } from './planned-stop.js';
 import { ZoneRegions } from './zone-regions.js';
 
 /** A running gateway. */
@@ -45,9 +45,9 @@
   private readonly context: GatewayContext;
   private readonly endpoint: GatewayEndpoint;
   private readonly aggregation: Aggregation;
-  private readonly ended = new AbortController();
+  private readonly shutdown = new AbortController();
   private isStopping = false;
-  private callers: HttpListener | undefined;
+  private callerListener: HttpListener | undefined;
   private health: HttpListener | undefined;
 
   private constructor(
@@ -84,7 +84,7 @@
     const evacuations = new EvacuationsInForce(this.context, this.logger);
     observe(this.client.evacuations, (evacuation) => evacuations.take(evacuation));
     this.tenants.observeControllers();
-    observe(this.client.quarantine, (entry) => this.context.crashGuard.take(entry));
+    observe(this.client.quarantine, (entry) => this.context.crashGuard.applyEntry(entry));
   }
 
   /**
@@ -100,10 +100,10 @@
   ): Promise<GatewayDaemon> {
     const daemon = new GatewayDaemon(environment, configuration, telemetry, headers);
     try {
-      await daemon.open();
+      await daemon.listen();
     } catch (error) {
       // Streams to controllers would keep the process of a gateway that serves nobody.
-      await daemon.callers?.close();
+      await daemon.callerListener?.close();
       await daemon.release();
       throw error;
     }
@@ -112,8 +112,8 @@
 
   /** Where callers reach it. */
   get address(): Address {
-    if (this.callers === undefined) throw new Error('the gateway does not listen yet');
-    return this.callers.address;
+    if (this.callerListener === undefined) throw new Error('the gateway does not listen yet');
+    return this.callerListener.address;
   }
 
   /** Controllers whose stream is open. */
@@ -137,12 +137,12 @@
     const { clock } = this.environment;
     const { stopGraceMs } = this.configuration;
     this.logger.info('gateway stopping', { inFlight: this.inFlight });
-    this.aggregation.stopTaking();
-    await answerBeforeStop({
+    this.aggregation.stopAccepting();
+    await drainCallers({
       clock,
       graceMs: stopGraceMs,
       inFlight: () => this.inFlight,
-      closeListener: () => this.callers?.close(),
+      closeListener: () => this.callerListener?.close(),
     });
     await this.release();
     this.logger.info('gateway stopped', { inFlight: this.inFlight });
@@ -150,7 +150,7 @@
 
   /** Closes all but the listener of callers, whose answers come first in a planned stop. */
   private async release(): Promise<void> {
-    this.ended.abort(new Error('stopped'));
+    this.shutdown.abort(new Error('stopped'));
     await this.health?.close();
     await this.client.stop();
     await this.tenants.stop();
@@ -178,7 +178,7 @@
       telemetry: { ...this.telemetry, logger: this.logger },
       leaves: () => this.client.knownGateways,
       table: () => this.endpoint.table,
-      stopped: this.ended.signal,
+      stopped: this.shutdown.signal,
     });
   }
 
@@ -189,7 +189,7 @@
       identity: this.identity,
       telemetry: { ...this.telemetry, logger: this.logger },
       client: this.client,
-      stopped: this.ended.signal,
+      stopped: this.shutdown.signal,
     });
   }
 
@@ -213,29 +213,31 @@
     });
   }
 
-  private async open(): Promise<void> {
+  private async listen(): Promise<void> {
     const { listen, limits } = this.configuration;
     const { network } = this.environment;
     if (listen.messages !== undefined) await this.aggregation.listen(listen.messages);
     this.aggregation.start();
     const options: HttpListenOptions = {
       ...limits,
-      onRefused: (refused) => this.noteRefused(refused),
+      onRefused: (refused) => this.noteUnreadRequest(refused),
     };
-    this.callers = await network.listenHttp(listen.http, options, (request) => this.serve(request));
+    this.callerListener = await network.listenHttp(listen.http, options, (request) =>
+      this.serve(request),
+    );
     const health = this.createHealthEndpoint();
-    this.health = await network.listenHttp(listen.health, HEALTH_OPTIONS, (request) =>
+    this.health = await network.listenHttp(listen.health, HEALTH_LISTENER_OPTIONS, (request) =>
       health.handle(request),
     );
     void this.tenants.renewLease();
-    this.startUpkeep();
+    this.startMaintenance();
     this.logger.info('gateway listening', { http: formatAddress(this.address) });
   }
 
-  private startUpkeep(): void {
+  private startMaintenance(): void {
     const { context, directory, aggregation, endpoint, logger } = this;
-    const stopped = this.ended.signal;
-    new GatewayUpkeep({ context, directory, aggregation, endpoint, logger, stopped }).start();
+    const stopped = this.shutdown.signal;
+    new GatewayMaintenance({ context, directory, aggregation, endpoint, logger, stopped }).start();
   }
 
   private createHealthEndpoint(): HealthEndpoint {
@@ -248,10 +250,10 @@
     });
   }
 
-  private noteRefused(refused: RefusedRequest): void {
+  private noteUnreadRequest(refused: RefusedRequest): void {
     const { metrics, decisions } = this.context;
     metrics.requests.inc({ status: String(refused.status) });
-    decisions.notRead(refused);
+    decisions.logNotRead(refused);
   }
 
   private async serve(request: HttpRequest): Promise<HttpResponse> {
@@ -265,7 +267,7 @@
       const table = new RouteTable(readRouteDocument(content), this.endpoint.table);
       this.endpoint.useTable(table);
       this.tenants.useTable(table);
-      this.callers?.setIdleTimeout(table.limits.idleTimeoutMs);
+      this.callerListener?.setIdleTimeout(table.limits.idleTimeoutMs);
       this.context.metrics.routeVersion.set(version);
       this.logger.info('route document in force', { version, controller });
     } catch (error) {
--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -7,7 +7,7 @@
 import type { Tenant } from '../tenants/tenant.js';
 import { authenticate, KEY_PROBLEM_REASONS, type KeyProblem } from './authentication.js';
 import type { CallerRequest } from './caller-request.js';
-import { longestUnsent } from './connect-bounds.js';
+import { sendTimeout } from './connect-timeouts.js';
 import { FanOut, type PlanSources } from './fan-out.js';
 import { endToEndHeaders } from './forwarded-headers.js';
 import { CALLER_GONE, forwardSingle } from './forward-single.js';
@@ -40,27 +40,27 @@
 
 /** See the module comment. */
 export class GatewayEndpoint {
-  private readonly tables: TableInForce;
+  private readonly tableInForce: TableInForce;
   /** Requests that have no answer yet. */
   inFlight = 0;
-  private readonly splits: SplitChooser;
+  private readonly splitChooser: SplitChooser;
 
   constructor(
     private readonly context: GatewayContext,
     private readonly planSources: PlanSources,
   ) {
-    this.tables = new TableInForce(context.environment.clock);
-    this.splits = new SplitChooser(context.environment.random);
+    this.tableInForce = new TableInForce(context.environment.clock);
+    this.splitChooser = new SplitChooser(context.environment.random);
   }
 
   /** The route table in force; undefined before the first. */
   get table(): RouteTable | undefined {
-    return this.tables.current;
+    return this.tableInForce.current;
   }
 
   /** Puts a table in force for requests from now on. */
   useTable(table: RouteTable): void {
-    this.tables.use(table);
+    this.tableInForce.use(table);
   }
 
   async handle(request: HttpRequest): Promise<HttpResponse> {
@@ -78,7 +78,8 @@
   }
 
   private async route(request: HttpRequest, receivedAt: number): Promise<HttpResponse> {
-    if (this.table === undefined) await this.tables.wait(this.statedDeadline(request));
+    if (this.table === undefined)
+      await this.tableInForce.waitForFirst(this.callerTimeoutMs(request));
     // Not the one that was waited for: the lease is for the table in force.
     const { table } = this;
     if (request.signal.aborted) {
@@ -104,7 +105,7 @@
     const callerRequest = this.toCallerRequest(request, { table, route, tenant }, receivedAt);
     const { fingerprint } = callerRequest;
     if (this.context.crashGuard.isQuarantined(fingerprint)) {
-      this.context.crashGuard.noteRefusal();
+      this.context.crashGuard.recordRefusal();
       return this.reject(request, GatewayRefusal.Quarantined, QUARANTINED, { fingerprint });
     }
     if (tenant === undefined) return this.forward(callerRequest);
@@ -125,7 +126,7 @@
       });
     }
     const { receivedAt, route, signal } = callerRequest;
-    const taken = quota.take(tenant, receivedAt + longestUnsent(targetLatencyOf(route)));
+    const taken = quota.take(tenant, receivedAt + sendTimeout(targetLatencyOf(route)));
     const decision = taken instanceof Promise ? await taken : taken;
     if (!decision.isAdmitted) {
       const { retryAfterMs } = decision;
@@ -133,17 +134,17 @@
       return this.reject(request, GatewayRefusal.RateLimited, reason, { retryAfterMs });
     }
     if (signal.aborted) {
-      quota.giveBack(tenant, this.context.environment.clock.now());
+      quota.returnToken(tenant, this.context.environment.clock.now());
       return this.reject(request, GatewayRefusal.NotRun, CALLER_GONE);
     }
     const takenAt = this.context.environment.clock.now();
     const response = await this.forward(callerRequest);
-    if (this.ranNowhere(response)) quota.giveBack(tenant, takenAt);
+    if (this.isCertainlyNotRun(response)) quota.returnToken(tenant, takenAt);
     return response;
   }
 
   /** Whether the answer is this gateway's own word that the request was not run. */
-  private ranNowhere({ status, headers = {} }: HttpResponse): boolean {
+  private isCertainlyNotRun({ status, headers = {} }: HttpResponse): boolean {
     const isRefusal = status === HTTP_TOO_MANY_REQUESTS || status === HTTP_UNAVAILABLE;
     return isRefusal && headers[this.context.headers.signature] === undefined;
   }
@@ -161,7 +162,7 @@
   ): HttpResponse {
     const response = refuse(refusal, reason, retryAfterMs);
     this.context.metrics.refusals.inc({ reason: refusal });
-    this.context.decisions.notForwarded({
+    this.context.decisions.logNotForwarded({
       request,
       requestId: request.headers[this.context.headers.requestId],
       fingerprint,
@@ -182,7 +183,7 @@
     const { method, target, body } = request;
     const headers = this.headersToSend(request, table, tenant);
     const id = request.headers[requestId] ?? randomUUID();
-    const patience = this.statedDeadline(request) - RETURN_MARGIN_MS;
+    const usableMs = this.callerTimeoutMs(request) - RETURN_MARGIN_MS;
     return {
       id,
       method,
@@ -196,7 +197,7 @@
       route,
       tenant,
       receivedAt,
-      deadline: receivedAt + Math.max(1, Math.min(route.timeoutMs, patience)),
+      deadline: receivedAt + Math.max(1, Math.min(route.timeoutMs, usableMs)),
     };
   }
 
@@ -210,7 +211,7 @@
   }
 
   /** How long the caller says it will wait; Infinity when it does not say. Milliseconds. */
-  private statedDeadline(request: HttpRequest): number {
+  private callerTimeoutMs(request: HttpRequest): number {
     const stated = Number(request.headers[this.context.headers.deadline] ?? Infinity);
     return stated > 0 ? stated : Infinity;
   }
@@ -220,7 +221,7 @@
     if (shards !== undefined) {
       return new FanOut(this.context, request, shards, this.planSources).run();
     }
-    const chosen = split === undefined ? service : this.splits.choose(request.route, split);
+    const chosen = split === undefined ? service : this.splitChooser.choose(request.route, split);
     return forwardSingle(this.context, request, chosen ?? '');
   }
 }
--- a/src/gateway/gateway-upkeep.ts
+++ b/src/gateway/gateway-maintenance.ts
@@ -8,12 +8,12 @@
 import type { GatewayEndpoint } from './gateway-endpoint.js';
 
 /** So few replicas are connected to before the first routes say which are asked from here. */
-const FEW_REPLICAS = 128;
+const MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES = 128;
 /** How often forgotten replicas are looked for. */
 const FORGET_INTERVAL_MS = 500;
 
 /** What it works on. */
-export interface GatewayUpkeepParts {
+export interface GatewayMaintenanceOptions {
   readonly context: GatewayContext;
   readonly directory: ReplicaDirectory;
   readonly aggregation: Aggregation;
@@ -23,12 +23,12 @@
 }
 
 /** See the module comment. */
-export class GatewayUpkeep {
-  constructor(private readonly parts: GatewayUpkeepParts) {}
+export class GatewayMaintenance {
+  constructor(private readonly options: GatewayMaintenanceOptions) {}
 
   /** Runs until stopped. */
   start(): void {
-    const { context, logger, stopped } = this.parts;
+    const { context, logger, stopped } = this.options;
     const { environment, mechanisms, traffic } = context;
     void this.forgetSilent();
     void logZoneTraffic({ clock: environment.clock, logger, traffic, stopped });
@@ -36,28 +36,28 @@
   }
 
   private keepWarm(): Promise<void> {
-    const { context, aggregation, endpoint, stopped } = this.parts;
+    const { context, aggregation, endpoint, stopped } = this.options;
     const { clock, random } = context.environment;
     return keepConnectionsWarm({
       clock,
       random,
-      targets: () => aggregation.firstAsked(),
-      isWorthIt: (service) => this.isAskedOften(service),
+      targets: () => aggregation.preferredTargets(),
+      shouldKeepWarm: (service) => this.shouldKeepWarm(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
       stopped,
     });
   }
 
-  private isAskedOften(service: string): boolean {
-    const { context, aggregation, endpoint } = this.parts;
+  private shouldKeepWarm(service: string): boolean {
+    const { context, aggregation, endpoint } = this.options;
     const { table } = endpoint;
-    if (table === undefined) return context.targets.size <= FEW_REPLICAS;
-    return table.isShard(service) && aggregation.asksItself(service);
+    if (table === undefined) return context.targets.size <= MAXIMUM_REPLICAS_WARMED_WITHOUT_ROUTES;
+    return table.isShard(service) && aggregation.queriesDirectly(service);
   }
 
   private async forgetSilent(): Promise<void> {
-    const { context, directory, stopped } = this.parts;
+    const { context, directory, stopped } = this.options;
     const { clock } = context.environment;
     while (!stopped.aborted) {
       await clock.sleep(FORGET_INTERVAL_MS, stopped).catch(() => undefined);
--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -30,46 +30,48 @@
 /** See the module comment. */
 export class GatewayTenants {
   /** Absent where the time of a revocation is not bounded. */
-  private readonly renewal: LeaseRenewal | undefined;
+  private readonly leaseRenewal: LeaseRenewal | undefined;
   /** Absent where the limits of tenants are not kept. */
-  private readonly limits: GatewayQuota | undefined;
+  private readonly gatewayQuota: GatewayQuota | undefined;
 
   constructor(private readonly options: GatewayTenantsOptions) {
-    this.renewal = this.createRenewal();
-    this.limits = this.createLimits();
+    this.leaseRenewal = this.createRenewal();
+    this.gatewayQuota = this.createQuota();
   }
 
   /** The right to accept API keys. */
   get lease(): AuthorizationLease {
-    return this.renewal ?? UNBOUNDED_LEASE;
+    return this.leaseRenewal ?? UNBOUNDED_LEASE;
   }
 
   /** Decides which requests of tenants are passed on. */
   get quota(): TenantQuota {
-    return this.limits?.client ?? UNLIMITED_QUOTA;
+    return this.gatewayQuota?.client ?? UNLIMITED_QUOTA;
   }
 
   /** Takes from now on what the controllers answer to the renewal of the lease. */
   observeControllers(): void {
     const { followed, confirmations } = this.options.client;
-    observe(followed, () => this.renewal?.noteFollowed());
-    observe(confirmations, ({ number, version }) => this.renewal?.takeAnswer(number, version));
+    observe(followed, () => this.leaseRenewal?.handleControllerConnected());
+    observe(confirmations, ({ number, version }) =>
+      this.leaseRenewal?.handleConfirmation(number, version),
+    );
   }
 
   /** A table has come into force. */
   useTable(table: RouteTable): void {
-    this.renewal?.useTable(table);
-    this.limits?.useTenants(table.tenants);
+    this.leaseRenewal?.setRouteTable(table);
+    this.gatewayQuota?.connectIfLimited(table.tenants);
   }
 
   /** Renews the lease until stopped. */
   async renewLease(): Promise<void> {
-    await this.renewal?.run();
+    await this.leaseRenewal?.run();
   }
 
   /** Closes the connection to the owner of the limits. */
   async stop(): Promise<void> {
-    await this.limits?.stop();
+    await this.gatewayQuota?.stop();
   }
 
   private createRenewal(): LeaseRenewal | undefined {
@@ -86,7 +88,7 @@
     });
   }
 
-  private createLimits(): GatewayQuota | undefined {
+  private createQuota(): GatewayQuota | undefined {
     const { environment, settings, identity, telemetry, client } = this.options;
     if (settings.quota === undefined) return undefined;
     return new GatewayQuota({
--- a/src/gateway/health-endpoint.ts
+++ b/src/gateway/health-endpoint.ts
@@ -3,7 +3,7 @@
 import type { HttpRequest, HttpResponse } from '../seams/http.js';
 
 /** Bounds of the health listener. */
-export const HEALTH_OPTIONS = {
+export const HEALTH_LISTENER_OPTIONS = {
   maximumBodyBytes: 1_024,
   maximumHeaderBytes: 8_192,
   requestTimeout: 5_000,
--- a/src/gateway/merge-records.ts
+++ b/src/gateway/merge-records.ts
@@ -3,15 +3,15 @@
 /** Size of a record; what is left at the end of a part is no record. Bytes. */
 export const RECORD_BYTES = 16;
 /** Leading bytes of a record that fit a number exactly. */
-const KEY_BYTES = 6;
+const KEY_PREFIX_BYTES = 6;
 
 /** Where a record lies. */
-interface RecordPlace {
+interface RecordPosition {
   readonly part: Buffer;
   readonly offset: number;
 }
 
-function compareFalling(left: RecordPlace, right: RecordPlace): number {
+function compareDescending(left: RecordPosition, right: RecordPosition): number {
   return right.part.compare(
     left.part,
     left.offset,
@@ -26,13 +26,13 @@
 }
 
 /** The leading bytes of every record, as numbers that compare as the bytes do. */
-function readKeys(parts: readonly Buffer[], total: number): Float64Array {
+function readKeyPrefixes(parts: readonly Buffer[], total: number): Float64Array {
   const keys = new Float64Array(total);
   let index = 0;
   for (const part of parts) {
     const last = part.length - RECORD_BYTES;
     for (let offset = 0; offset <= last; offset += RECORD_BYTES) {
-      keys[index] = part.readUIntBE(offset, KEY_BYTES);
+      keys[index] = part.readUIntBE(offset, KEY_PREFIX_BYTES);
       index += 1;
     }
   }
@@ -40,23 +40,27 @@
 }
 
 /** The key that the record of rank `count` has; records below it are not among the greatest. */
-function leastKey(keys: Float64Array, count: number): number {
+function thresholdKey(keys: Float64Array, count: number): number {
   if (keys.length <= count) return 0;
   return keys.slice().sort()[keys.length - count] ?? 0;
 }
 
 /** The records whose key is `least` or greater. */
-function selectPlaces(parts: readonly Buffer[], keys: Float64Array, least: number): RecordPlace[] {
-  const places: RecordPlace[] = [];
+function selectCandidates(
+  parts: readonly Buffer[],
+  keys: Float64Array,
+  threshold: number,
+): RecordPosition[] {
+  const candidates: RecordPosition[] = [];
   let index = 0;
   for (const part of parts) {
     const last = part.length - RECORD_BYTES;
     for (let offset = 0; offset <= last; offset += RECORD_BYTES) {
-      if ((keys[index] ?? 0) >= least) places.push({ part, offset });
+      if ((keys[index] ?? 0) >= threshold) candidates.push({ part, offset });
       index += 1;
     }
   }
-  return places;
+  return candidates;
 }
 
 /**
@@ -67,10 +71,10 @@
 export function mergeRecords(parts: readonly Uint8Array[], count: number): Uint8Array {
   if (count === 0) return new Uint8Array(0);
   const buffers = parts.map((part) => Buffer.from(part.buffer, part.byteOffset, part.byteLength));
-  const keys = readKeys(buffers, countRecords(buffers));
-  const places = selectPlaces(buffers, keys, leastKey(keys, count));
-  places.sort(compareFalling);
-  const greatest = places.slice(0, count);
+  const keys = readKeyPrefixes(buffers, countRecords(buffers));
+  const candidates = selectCandidates(buffers, keys, thresholdKey(keys, count));
+  candidates.sort(compareDescending);
+  const greatest = candidates.slice(0, count);
   return Buffer.concat(
     greatest.map(({ part, offset }) => part.subarray(offset, offset + RECORD_BYTES)),
   );
--- a/src/gateway/part-source.ts
+++ b/src/gateway/part-source.ts
@@ -25,7 +25,7 @@
   /** Requests to replicas so far, as far as they are known here. */
   readonly sends: number;
   /** Whether any replica was offered the request, or may have been. */
-  readonly isOffered: boolean;
+  readonly mayHaveSent: boolean;
   /** Whether a replica may have run the request, or may still run it. */
   readonly mayRun: boolean;
   /** Attempts that brought no part, for the log. `receivedAt` is the request's. */
--- a/src/gateway/request-decisions.ts
+++ b/src/gateway/request-decisions.ts
@@ -10,7 +10,7 @@
 import type { RaceOutcome } from './race-outcome.js';
 import type { ReplicaRace } from './replica-race.js';
 import { targetLatencyOf } from './route-latencies.js';
-import type { UnreadableReport } from './send-attempt.js';
+import type { UnreadableReport } from './attempt-sender.js';
 
 /** How a fan-out ended. */
 export interface FanOutSummary {
@@ -40,7 +40,7 @@
 }
 
 /** Most attempts that brought no part that a line shows. */
-const SHOWN_ATTEMPTS = 8;
+const MAXIMUM_LOGGED_ATTEMPTS = 8;
 
 const FIRST_FAILURE_STATUS = 300;
 const NOT_RUN_STATUS = 503;
@@ -63,9 +63,9 @@
 }
 
 /** Longest part of a load report that a line shows. */
-const SHOWN_REPORT_CHARACTERS = 60;
+const MAXIMUM_LOGGED_REPORT_CHARACTERS = 60;
 /** Longest part of a path that a line shows. */
-const SHOWN_PATH_CHARACTERS = 120;
+const MAXIMUM_LOGGED_PATH_CHARACTERS = 120;
 
 /** A request that the gateway answered by itself, before any replica was chosen. */
 export interface RejectedRequest {
@@ -81,7 +81,7 @@
   readonly routeVersion: number | undefined;
 }
 
-function attemptsOf(race: ReplicaRace, receivedAt: number): readonly LogFields[] {
+function attemptFieldsOf(race: ReplicaRace, receivedAt: number): readonly LogFields[] {
   return race.attempts.map((attempt) => attemptFields(attempt, receivedAt));
 }
 
@@ -93,39 +93,39 @@
   ) {}
 
   /** A request to one service ended. */
-  attempted(request: CallerRequest, race: ReplicaRace, outcome: RaceOutcome): void {
+  logSingleRequest(request: CallerRequest, race: ReplicaRace, outcome: RaceOutcome): void {
     this.log.write(kindOfRace(outcome, race.sends, this.isLate(request)), () => ({
-      ...this.common(request),
+      ...this.commonFields(request),
       service: race.service,
       sends: race.sends,
       ...(outcome.kind === 'failed' ? { reason: outcome.reason } : {}),
-      attempts: attemptsOf(race, request.receivedAt),
+      attempts: attemptFieldsOf(race, request.receivedAt),
     }));
   }
 
   /** A request to all shards of a route ended. */
-  fannedOut(request: CallerRequest, { sources, ...summary }: FanOutSummary): void {
+  logFanOut(request: CallerRequest, { sources, ...summary }: FanOutSummary): void {
     const kind = kindOfFanOut(summary, this.isLate(request));
     this.log.write(kind, () => ({
-      ...this.common(request),
+      ...this.commonFields(request),
       ...summary,
       missingAttempts: sources
         .flatMap((source) => source.missingAttempts(request.receivedAt))
-        .slice(0, SHOWN_ATTEMPTS),
+        .slice(0, MAXIMUM_LOGGED_ATTEMPTS),
     }));
   }
 
   /** Shards were asked for another gateway, and not all of them answered at the first sending. */
-  gathered(request: CallerRequest, source: PartSource, summary: GatherSummary): void {
+  logGather(request: CallerRequest, source: PartSource, summary: GatherSummary): void {
     this.log.write(DecisionKind.Gathered, () => ({
-      ...this.common(request),
+      ...this.commonFields(request),
       ...summary,
-      missingAttempts: source.missingAttempts(request.receivedAt).slice(0, SHOWN_ATTEMPTS),
+      missingAttempts: source.missingAttempts(request.receivedAt).slice(0, MAXIMUM_LOGGED_ATTEMPTS),
     }));
   }
 
   /** The connection to a replica ended without an answer while it had the request. */
-  connectionLost(request: CallerRequest, service: string, attempt: AttemptRecord): void {
+  logConnectionLost(request: CallerRequest, service: string, attempt: AttemptRecord): void {
     this.log.write(DecisionKind.ConnectionLost, () => ({
       requestId: request.id,
       fingerprint: request.fingerprint,
@@ -135,7 +135,7 @@
   }
 
   /** A request was answered without being forwarded. */
-  notForwarded(rejected: RejectedRequest): void {
+  logNotForwarded(rejected: RejectedRequest): void {
     const { request, requestId, fingerprint, refusal, reason, status, routeVersion } = rejected;
     this.log.write(DecisionKind.NotForwarded, () => ({
       requestId,
@@ -145,20 +145,20 @@
       reason,
       routeVersion,
       host: request.headers['host'],
-      path: request.path.slice(0, SHOWN_PATH_CHARACTERS),
+      path: request.path.slice(0, MAXIMUM_LOGGED_PATH_CHARACTERS),
     }));
   }
 
   /** The listener refused what it could not read as a request, before it had an id. */
-  notRead({ status, remoteAddress }: RefusedRequest): void {
+  logNotRead({ status, remoteAddress }: RefusedRequest): void {
     this.log.write(DecisionKind.NotRead, () => ({ status, remoteAddress }));
   }
 
   /** A replica said of its load what is not understood here; it is chosen as if it had said nothing. */
-  unreadableReport({ replicaId, text }: UnreadableReport): void {
+  logUnreadableReport({ replicaId, text }: UnreadableReport): void {
     this.log.write(DecisionKind.UnreadableReport, () => ({
       replicaId,
-      report: text.slice(0, SHOWN_REPORT_CHARACTERS),
+      report: text.slice(0, MAXIMUM_LOGGED_REPORT_CHARACTERS),
     }));
   }
 
@@ -166,7 +166,7 @@
     return this.clock.now() - receivedAt > targetLatencyOf(route);
   }
 
-  private common(request: CallerRequest): LogFields {
+  private commonFields(request: CallerRequest): LogFields {
     const now = this.clock.now();
     return {
       requestId: request.id,
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -9,9 +9,9 @@
 import { targetLatencyOf } from './route-latencies.js';
 
 /** After this part of the target, late shards are looked at once more. */
-const HEDGE_AGAIN_PART = 0.15;
+const SECOND_HEDGE_FRACTION = 0.15;
 /** Shards whose replicas could not take the request are tried again within this part of it. */
-const RETRY_PART = 0.6;
+const RETRY_FRACTION = 0.6;
 /** A merged answer is worth the square of the share of its shards, so each shard weighs twice its share. */
 const COVERAGE_EXPONENT = 2;
 
@@ -54,7 +54,7 @@
     return this.races.reduce((sum, race) => sum + race.sends, 0);
   }
 
-  get isOffered(): boolean {
+  get mayHaveSent(): boolean {
     return this.races.some((race) => race.sends > 0);
   }
 
@@ -77,26 +77,26 @@
     this.timers.push(clock.setTimer(hedgeDelay, () => this.hedge()));
     if (!this.context.mechanisms.secondHedge) return;
     // For those that found no room or no budget the first time.
-    const again = hedgeDelay + targetLatencyOf(route) * HEDGE_AGAIN_PART;
-    this.timers.push(clock.setTimer(again, () => this.hedge()));
+    const secondHedgeDelay = hedgeDelay + targetLatencyOf(route) * SECOND_HEDGE_FRACTION;
+    this.timers.push(clock.setTimer(secondHedgeDelay, () => this.hedge()));
   }
 
   private startRaces(): void {
     const { shards, totalShards, isRepeat, maySendAgain } = this.options;
     const { receivedAt, route } = this.request;
     const latency = this.context.latencies.of(route);
-    const retryUntil = receivedAt + targetLatencyOf(route) * RETRY_PART;
+    const retryUntil = receivedAt + targetLatencyOf(route) * RETRY_FRACTION;
     const stake = Math.min(1, COVERAGE_EXPONENT / totalShards);
     for (const service of shards) {
       this.races.push(
         new ReplicaRace(this.context, this.request, {
           service,
           latency,
-          stake,
+          valueFraction: stake,
           isRepeat,
-          retryUntil,
+          retryDeadline: retryUntil,
           maySendAgain,
-          onEnd: (race) => this.take(race),
+          onEnd: (race) => this.onRaceEnd(race),
         }),
       );
     }
@@ -113,7 +113,7 @@
     }
   }
 
-  private take({ service, outcome }: ReplicaRace): void {
+  private onRaceEnd({ service, outcome }: ReplicaRace): void {
     if (this.isCancelled || outcome === undefined) return;
     if (outcome.kind === 'failed') {
       this.listener.onFailed([service]);
--- a/src/gateway/table-in-force.ts
+++ b/src/gateway/table-in-force.ts
@@ -8,12 +8,12 @@
 import type { Clock } from '../seams/clock.js';
 
 /** How long after its start a gateway expects its first table any moment. Milliseconds. */
-const YOUNG_MS = 3_000;
+const STARTUP_MS = 3_000;
 /** Longest wait, as a part of the time that the caller has, and in milliseconds. */
-const LONGEST_WAIT_PART = 0.25;
-const LONGEST_WAIT_MS = 400;
+const MAXIMUM_WAIT_FRACTION = 0.25;
+const MAXIMUM_WAIT_MS = 400;
 /** Requests that may wait at once; further ones are refused at once. */
-const MAXIMUM_WAITING = 500;
+const MAXIMUM_WAITING_REQUESTS = 500;
 
 /** See the module comment. */
 export class TableInForce {
@@ -32,16 +32,17 @@
   }
 
   /** The first table, once it is there; undefined when it is not worth the wait. */
-  wait(patienceMs: number): Promise<RouteTable | undefined> {
-    const isYoung = this.clock.now() - this.startedAt < YOUNG_MS;
-    if (!isYoung || this.waiting.size >= MAXIMUM_WAITING) return Promise.resolve(undefined);
-    const longest = Math.min(LONGEST_WAIT_MS, patienceMs * LONGEST_WAIT_PART);
+  waitForFirst(callerTimeoutMs: number): Promise<RouteTable | undefined> {
+    const isStarting = this.clock.now() - this.startedAt < STARTUP_MS;
+    if (!isStarting || this.waiting.size >= MAXIMUM_WAITING_REQUESTS)
+      return Promise.resolve(undefined);
+    const maximumWaitMs = Math.min(MAXIMUM_WAIT_MS, callerTimeoutMs * MAXIMUM_WAIT_FRACTION);
     return new Promise((resolve) => {
       const onTable = (table: RouteTable): void => {
         timer.cancel();
         resolve(table);
       };
-      const timer = this.clock.setTimer(longest, () => {
+      const timer = this.clock.setTimer(maximumWaitMs, () => {
         this.waiting.delete(onTable);
         resolve(undefined);
       });
--- a/src/gateway/tenant-headers.ts
+++ b/src/gateway/tenant-headers.ts
@@ -7,7 +7,7 @@
 import type { ExchangeHeaders } from './exchange-headers.js';
 
 /** Back ends that hand headers on as variables take `_` and `-` for the same. */
-function canonical(name: string): string {
+function normalizeHeaderName(name: string): string {
   return name.replaceAll('_', '-');
 }
 
@@ -17,10 +17,10 @@
   { apiKey, tenant: tenantHeader }: ExchangeHeaders,
   tenant: Tenant | undefined,
 ): HttpHeaders {
-  const dropped = new Set([canonical(apiKey), canonical(tenantHeader)]);
+  const dropped = new Set([normalizeHeaderName(apiKey), normalizeHeaderName(tenantHeader)]);
   const kept: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (!dropped.has(canonical(name))) kept[name] = value;
+    if (!dropped.has(normalizeHeaderName(name))) kept[name] = value;
   }
   if (tenant !== undefined) kept[tenantHeader] = tenant.name;
   return kept;
--- a/src/router/backend-attempt.ts
+++ b/src/router/backend-attempt.ts
@@ -137,7 +137,7 @@
     if (resultText === undefined) return this.dropReply('malformed_body');
     const { record, snapshot, shardId } = this.target;
     this.router.registry.onAnswer(record, snapshot, latency);
-    this.query.service.policies.outliers.recordSuccess(record.process);
+    this.query.service.policies.outlierEjection.recordSuccess(record.process);
     this.query.service.policies.hedge.recordLatency(shardId, latency);
     return { kind: 'answered', resultText, bytes: response.body.length };
   }
@@ -157,7 +157,7 @@
   private recordFailure(): void {
     const { record } = this.target;
     record.recordFailure();
-    this.query.service.policies.outliers.recordFailure(record.process);
+    this.query.service.policies.outlierEjection.recordFailure(record.process);
   }
 
   /** Records the elapsed time of a cancelled attempt: a lower bound of the replica's latency. */
--- a/src/router/shard-execution.ts
+++ b/src/router/shard-execution.ts
@@ -36,7 +36,7 @@
   ) {
     this.candidates = new ShardCandidates(
       router.registry,
-      query.service.policies.outliers,
+      query.service.policies.outlierEjection,
       shard,
       execution.plan.snapshotText,
     );
@@ -123,8 +123,8 @@
 
   private recordPrimary(): void {
     const { hedge, retry } = this.query.service.policies;
-    hedge.recordPrimary(this.shard.shardId);
-    retry.recordPrimary();
+    hedge.recordFirstAttempt(this.shard.shardId);
+    retry.recordFirstAttempt();
   }
 
   private hedgeDelay(): number | undefined {
@@ -138,7 +138,7 @@
     if (this.execution.endSignal.aborted) return undefined;
     const record = this.select(this.candidates.hedgeCandidates());
     if (record === undefined) return undefined;
-    if (!this.query.service.policies.hedge.takeBudget()) return undefined;
+    if (!this.query.service.policies.hedge.tryTakeBudget()) return undefined;
     return this.launch('hedge', record);
   }
 
--- a/src/routes/read-route-document.ts
+++ b/src/routes/read-route-document.ts
@@ -6,7 +6,7 @@
   type Route,
   type RouteDocument,
 } from './route-document.js';
-import { problemsOfTenants } from './problems-of-tenants.js';
+import { findTenantProblems } from './tenant-problems.js';
 
 /** The bytes are no valid route document; nothing of it was taken. */
 export class InvalidRouteDocumentError extends DriftwayError {
@@ -25,38 +25,38 @@
   return route.service === undefined ? [] : [route.service];
 }
 
-function problemsOfTargets(route: Route, place: string): string[] {
+function findTargetProblems(route: Route, path: string): string[] {
   const targets = [route.service, route.split, route.shards].filter((one) => one !== undefined);
-  if (targets.length !== 1) return [`${place}: name one of service, split and shards`];
+  if (targets.length !== 1) return [`${path}: name one of service, split and shards`];
   if (route.shards !== undefined && new Set(route.shards).size < route.shards.length) {
-    return [`${place}.shards: a shard is named twice`];
+    return [`${path}.shards: a shard is named twice`];
   }
   if (route.split === undefined) return [];
   const total = route.split.reduce((sum, { weight }) => sum + weight, 0);
-  return total > 0 ? [] : [`${place}.split: the weights sum to 0`];
+  return total > 0 ? [] : [`${path}.split: the weights sum to 0`];
 }
 
-function problemsOfDocument(document: RouteDocument): string[] {
+function findDocumentProblems(document: RouteDocument): string[] {
   const problems: string[] = [];
   const services = new Set(document.services.map(({ name }) => name));
   if (services.size < document.services.length) problems.push('services: a name is used twice');
-  const places = new Set<string>();
+  const hostsAndPrefixes = new Set<string>();
   for (const [index, route] of document.routes.entries()) {
-    const place = `routes.${index}`;
-    problems.push(...problemsOfTargets(route, place));
+    const path = `routes.${index}`;
+    problems.push(...findTargetProblems(route, path));
     for (const service of servicesOf(route)) {
-      if (!services.has(service)) problems.push(`${place}: there is no service "${service}"`);
+      if (!services.has(service)) problems.push(`${path}: there is no service "${service}"`);
     }
     const key = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-    if (places.has(key)) problems.push(`${place}: another route has this host and prefix`);
-    places.add(key);
+    if (hostsAndPrefixes.has(key)) problems.push(`${path}: another route has this host and prefix`);
+    hostsAndPrefixes.add(key);
   }
-  problems.push(...problemsOfTenants(document.tenants ?? []));
+  problems.push(...findTenantProblems(document.tenants ?? []));
   return problems;
 }
 
 /** Without the text around it, which the error quotes: it may hold an API key. */
-function placeOfJsonError({ message }: Error): string {
+function locateJsonError({ message }: Error): string {
   return /at position \d+/.exec(message)?.[0] ?? 'somewhere';
 }
 
@@ -68,7 +68,7 @@
   try {
     return JSON.parse(new TextDecoder('utf-8', { fatal: true }).decode(bytes)) as unknown;
   } catch (error) {
-    throw new InvalidRouteDocumentError([`not JSON, ${placeOfJsonError(error as Error)}`]);
+    throw new InvalidRouteDocumentError([`not JSON, ${locateJsonError(error as Error)}`]);
   }
 }
 
@@ -81,7 +81,7 @@
     );
     throw new InvalidRouteDocumentError(problems);
   }
-  const problems = problemsOfDocument(parsed.data);
+  const problems = findDocumentProblems(parsed.data);
   if (problems.length > 0) throw new InvalidRouteDocumentError(problems);
   return parsed.data;
 }
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -19,27 +19,30 @@
 }
 
 /** The lists of shards by their names; see {@link RouteTable.shardLists}. */
-type ShardListsByName = ReadonlyMap<string, ShardList>;
+type ShardListsByKey = ReadonlyMap<string, ShardList>;
 
-function keyOf(shards: readonly string[]): string {
+function shardListKey(shards: readonly string[]): string {
   return shards.join('\n');
 }
 
 /** Each list once, also where several routes name it; the one of `before` where it is the same. */
-function distinctLists(routes: readonly Route[], before: ShardListsByName): ShardListsByName {
+function deduplicateShardLists(
+  routes: readonly Route[],
+  previous: ShardListsByKey,
+): ShardListsByKey {
   const lists = new Map<string, ShardList>();
   for (const { shards } of routes) {
     if (shards === undefined) continue;
-    const key = keyOf(shards);
-    if (!lists.has(key)) lists.set(key, before.get(key) ?? new ShardList(shards));
+    const key = shardListKey(shards);
+    if (!lists.has(key)) lists.set(key, previous.get(key) ?? new ShardList(shards));
   }
   return lists;
 }
 
 /** The route with the array of its list of shards, so that what is kept by that array is found. */
-function withListOf(route: Route, lists: ShardListsByName): Route {
+function withSharedShardList(route: Route, lists: ShardListsByKey): Route {
   if (route.shards === undefined) return route;
-  const list = lists.get(keyOf(route.shards));
+  const list = lists.get(shardListKey(route.shards));
   return list === undefined ? route : { ...route, shards: list.shards };
 }
 
@@ -72,19 +75,23 @@
   readonly tenants: TenantDirectory | undefined;
   /** Whether requests of some route need an API key. */
   readonly needsKeys: boolean;
-  private readonly listsByName: ShardListsByName;
+  private readonly shardListsByKey: ShardListsByKey;
   private readonly byHost: ReadonlyMap<string, RoutesOfHost>;
   private readonly shards: ReadonlySet<string>;
   private readonly services: ReadonlyMap<string, RoutedService>;
 
-  constructor(document: RouteDocument, before?: RouteTable) {
+  constructor(document: RouteDocument, previous?: RouteTable) {
     this.version = document.version;
     this.limits = document.limits;
-    this.tenants = document.tenants && TenantDirectory.of(document.tenants, before?.tenants);
+    this.tenants =
+      document.tenants && TenantDirectory.createOrReuse(document.tenants, previous?.tenants);
     this.needsKeys = this.tenants !== undefined && document.routes.some((route) => !route.public);
-    this.listsByName = distinctLists(document.routes, before?.listsByName ?? new Map());
-    this.shardLists = [...this.listsByName.values()];
-    const routes = document.routes.map((route) => withListOf(route, this.listsByName));
+    this.shardListsByKey = deduplicateShardLists(
+      document.routes,
+      previous?.shardListsByKey ?? new Map(),
+    );
+    this.shardLists = [...this.shardListsByKey.values()];
+    const routes = document.routes.map((route) => withSharedShardList(route, this.shardListsByKey));
     const groups = groupByHost(routes);
     for (const group of groups.values()) {
       group.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length);
--- a/src/routes/version-history.ts
+++ b/src/routes/version-history.ts
@@ -14,7 +14,7 @@
   /** The newest of them. */
   version: number;
   /** When the first of them became known. Clock reading. */
-  knownAt: number;
+  firstKnownAt: number;
 }
 
 /** See the module comment. */
@@ -22,14 +22,14 @@
   private readonly entries: HistoryEntry[] = [];
 
   /** A version has become known; one that is not newer than all before it is passed over. */
-  note(version: number, now: number): void {
+  record(version: number, now: number): void {
     const last = this.entries.at(-1);
     if (last !== undefined && version <= last.version) return;
-    if (last !== undefined && now - last.knownAt < ENTRY_SPAN_MS) {
+    if (last !== undefined && now - last.firstKnownAt < ENTRY_SPAN_MS) {
       last.version = version;
       return;
     }
-    this.entries.push({ version, knownAt: now });
+    this.entries.push({ version, firstKnownAt: now });
     if (this.entries.length > MAXIMUM_ENTRIES) this.mergeOldest();
   }
 
@@ -37,13 +37,13 @@
    * When the first version that is newer than `version` became known; undefined when there is
    * none. May be earlier by {@link ENTRY_SPAN_MS}, and by more for versions of long ago.
    */
-  newerSince(version: number): number | undefined {
-    return this.entries.find((entry) => entry.version > version)?.knownAt;
+  supersededAt(version: number): number | undefined {
+    return this.entries.find((entry) => entry.version > version)?.firstKnownAt;
   }
 
   private mergeOldest(): void {
     const oldest = this.entries.shift();
     const next = this.entries[0];
-    if (oldest !== undefined && next !== undefined) next.knownAt = oldest.knownAt;
+    if (oldest !== undefined && next !== undefined) next.firstKnownAt = oldest.firstKnownAt;
   }
 }
--- a/test/aggregation/group-gather.test.ts
+++ b/test/aggregation/group-gather.test.ts
@@ -68,7 +68,7 @@
     first.callbacks?.onLost();
     expect(second.callbacks).toBeUndefined();
     mayRepeat.isGranted = true;
-    gather.takeGrant();
+    gather.handleGrant();
     second.callbacks?.onDeclined('stopping');
     expect(third.callbacks).toBeDefined();
   });
@@ -78,7 +78,7 @@
     const { gather } = gatherOver([first, second], { isGranted: false });
     gather.start();
     first.callbacks?.onLost();
-    expect(gather.isOffered).toBe(true);
+    expect(gather.mayHaveSent).toBe(true);
     expect(gather.mayRun).toBe(true);
   });
 });
--- a/test/aggregation/leaf-assignment.test.ts
+++ b/test/aggregation/leaf-assignment.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { LeafAssignment } from '../../src/aggregation/leaf-assignment.js';
-import { GROUP_OWNERS, NEAR_GROUP_OWNERS } from '../../src/aggregation/leaf-group.js';
-import type { RootPlace } from '../../src/aggregation/group-home.js';
+import { GROUP_OWNERS, SAME_ZONE_GROUP_OWNERS } from '../../src/aggregation/leaf-group.js';
+import type { RootLocation } from '../../src/aggregation/zone-selection.js';
 import type { LeafGateway } from '../../src/directory/leaf-gateway.js';
 import type { ServiceTargets } from '../../src/gateway/service-targets.js';
 
@@ -83,44 +83,53 @@
   return ZONES;
 }
 
-function createNear(
-  nearTo: RootPlace,
+function createSameZoneAssignment(
+  sameZoneAs: RootLocation,
   leaves: readonly LeafGateway[] = LEAVES,
-  holders: (shard: string) => string[] = everywhere,
+  replicaZones: (shard: string) => string[] = everywhere,
 ): LeafAssignment {
-  const of = (shard: string): unknown => holders(shard).map((zone) => ({ entry: { zone } }));
+  const of = (shard: string): unknown => replicaZones(shard).map((zone) => ({ entry: { zone } }));
   const targets = { of, size: 2 * SHARDS.length } as unknown as ServiceTargets;
   const parts = { now: () => 0, targets, leaves: () => leaves, shardsPerGroup: 8 };
-  return new LeafAssignment({ ...parts, nearTo });
+  return new LeafAssignment({ ...parts, sameZoneAs: sameZoneAs });
 }
 
 describe('the division of shards among leaves of the own zone', () => {
   it.each(ZONES)('asks leaves of zone %s for callers of that zone', (zone) => {
-    const groups = createNear({ name: 'root', zone }).groupsOf(SHARDS);
+    const groups = createSameZoneAssignment({ name: 'root', zone }).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards).sort()).toEqual([...SHARDS].sort());
     for (const { leaves, owners } of groups) {
-      expect(owners).toBe(NEAR_GROUP_OWNERS);
+      expect(owners).toBe(SAME_ZONE_GROUP_OWNERS);
       for (const leaf of leaves.slice(0, owners)) expect(leaf.zone).toBe(zone);
     }
   });
 
   it('is the same at all gateways of a zone', () => {
-    const [one, other] = ['root-1', 'root-2'].map((name) => createNear({ name, zone: 'a' }));
+    const [one, other] = ['root-1', 'root-2'].map((name) =>
+      createSameZoneAssignment({ name, zone: 'a' }),
+    );
     expect(one?.groupsOf(SHARDS)).toEqual(other?.groupsOf(SHARDS));
   });
 
   it('gives a zone without replicas the groups and leaves of one that holds them', () => {
     const leaves = [...LEAVES, { name: 'd-0', zone: 'd', address: '10.0.1.0:1' }];
-    const far = createNear({ name: 'root', zone: 'd' }, leaves).directGroupsOf(SHARDS);
+    const far = createSameZoneAssignment({ name: 'root', zone: 'd' }, leaves).directGroupsOf(
+      SHARDS,
+    );
     const homes = new Set(far.map(({ leaves: [first] }) => first?.zone ?? ''));
     expect(homes.size).toBe(1);
     const [home = ''] = homes;
-    expect(far).toEqual(createNear({ name: 'other', zone: home }, leaves).groupsOf(SHARDS));
+    expect(far).toEqual(
+      createSameZoneAssignment({ name: 'other', zone: home }, leaves).groupsOf(SHARDS),
+    );
   });
 
   it('gives a zone without replicas one relay, and another zone to stand by', () => {
     const leaves = [...LEAVES, { name: 'd-0', zone: 'd', address: '10.0.1.0:1' }];
-    const [relayed, ...others] = createNear({ name: 'root', zone: 'd' }, leaves).groupsOf(SHARDS);
+    const [relayed, ...others] = createSameZoneAssignment(
+      { name: 'root', zone: 'd' },
+      leaves,
+    ).groupsOf(SHARDS);
     expect(others).toEqual([]);
     expect(relayed?.isRelayed).toBe(true);
     expect([...(relayed?.shards ?? [])].sort()).toEqual([...SHARDS].sort());
@@ -133,8 +142,8 @@
   it('moves one shard alone when the zone loses its replica of it', () => {
     const holders = (shard: string): string[] => (shard === 'shard-7' ? ['b', 'c'] : ZONES);
     const place = { name: 'root', zone: 'a' };
-    const before = createNear(place).directGroupsOf(SHARDS);
-    const after = createNear(place, LEAVES, holders).directGroupsOf(SHARDS);
+    const before = createSameZoneAssignment(place).directGroupsOf(SHARDS);
+    const after = createSameZoneAssignment(place, LEAVES, holders).directGroupsOf(SHARDS);
     const near = after.filter(({ zone }) => zone === 'a');
     expect(near).toEqual(
       before.map((group) => ({ ...group, shards: group.shards.filter((s) => s !== 'shard-7') })),
@@ -147,7 +156,7 @@
     const place = { name: 'root', zone: 'a' };
     const lacksEachFourth = (shard: string): string[] =>
       Number(shard.split('-')[1]) % 4 === 0 ? ['b', 'c'] : ZONES;
-    const groups = createNear(place, LEAVES, lacksEachFourth).groupsOf(SHARDS);
+    const groups = createSameZoneAssignment(place, LEAVES, lacksEachFourth).groupsOf(SHARDS);
     const far = groups.filter(({ isRelayed }) => isRelayed);
     expect(far).toHaveLength(1);
     expect(far[0]?.shards).toHaveLength(SHARDS.length / 4);
@@ -158,7 +167,7 @@
 
   it('uses another zone where the own one has no leaves', () => {
     const leaves = LEAVES.filter(({ zone }) => zone !== 'a');
-    const groups = createNear({ name: 'root', zone: 'a' }, leaves).groupsOf(SHARDS);
+    const groups = createSameZoneAssignment({ name: 'root', zone: 'a' }, leaves).groupsOf(SHARDS);
     expect(groups.flatMap(({ shards }) => shards)).toHaveLength(SHARDS.length);
   });
 });
--- a/test/aggregation/near-groups.test.ts
+++ b/test/aggregation/near-groups.test.ts
@@ -11,9 +11,9 @@
 const AGGREGATION = { divideAbove: 3, shardsPerGroup: 2, nearGroups: true };
 const REPLICA_ZONES = ['north', 'east', 'south'];
 /** No replica is there. */
-const BARE_ZONE = 'west';
+const ZONE_WITHOUT_REPLICAS = 'west';
 /** Of the gateways besides the root: three in each zone. */
-const OTHER_ZONES = [...REPLICA_ZONES, BARE_ZONE].flatMap((zone) => [zone, zone, zone]);
+const OTHER_ZONES = [...REPLICA_ZONES, ZONE_WITHOUT_REPLICAS].flatMap((zone) => [zone, zone, zone]);
 /** In which gateways connect to each other. Milliseconds. */
 const CONNECT_MS = 2_000;
 /** After which a gateway may use its whole share of second sends. Milliseconds. */
@@ -21,7 +21,7 @@
 /** Until after a relay reports what it has, for a target of 200 ms. Milliseconds. */
 const LATE_WORK_MS = 165;
 /** Longer than gateways take to notice what was lost. Milliseconds. */
-const NOTICE_MS = 6_000;
+const DETECTION_MS = 6_000;
 
 interface Fleet {
   readonly harness: GatewayHarness;
@@ -66,13 +66,16 @@
 }
 
 /** Replicas that ran a request; a replica counts once. */
-function ranOf(replicas: readonly ExchangeReplica[], id: string): readonly ExchangeReplica[] {
+function replicasThatRan(
+  replicas: readonly ExchangeReplica[],
+  id: string,
+): readonly ExchangeReplica[] {
   return replicas.filter(({ runs }) => runs.some(({ requestId }) => requestId === id));
 }
 
 function expectWithinAttempts(replicas: readonly ExchangeReplica[], id: string): void {
   for (const shard of SHARDS) {
-    const ran = ranOf(replicas, id).filter(({ options }) => options.service === shard);
+    const ran = replicasThatRan(replicas, id).filter(({ options }) => options.service === shard);
     expect(ran.length).toBeLessThanOrEqual(2);
   }
 }
@@ -89,7 +92,7 @@
 }
 
 /** The gateways that took up such a gather, asked for with a request of its own. */
-async function takersOf(harness: GatewayHarness, result: string): Promise<OtherGateway[]> {
+async function gatewaysWith(harness: GatewayHarness, result: string): Promise<OtherGateway[]> {
   const counts = await Promise.all(harness.others.map((other) => gathersOf(other, result)));
   return harness.others.filter((_, index) => (counts[index] ?? 0) > 0);
 }
@@ -103,7 +106,7 @@
   it.each(REPLICA_ZONES)('are asked of the replicas of zone %s alone', async (zone) => {
     const { harness, replicas } = await start(zone);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
-    expect(zonesOf(ranOf(replicas, 'mine'))).toEqual([zone]);
+    expect(zonesOf(replicasThatRan(replicas, 'mine'))).toEqual([zone]);
     expect(await totalOf(harness, 'relayed')).toBe(0);
   });
 
@@ -111,7 +114,7 @@
     const off = { ...AGGREGATION, nearGroups: false };
     const { harness, replicas } = await start('north', () => false, off);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
-    expect(zonesOf(ranOf(replicas, 'mine')).length).toBeGreaterThan(1);
+    expect(zonesOf(replicasThatRan(replicas, 'mine')).length).toBeGreaterThan(1);
     expect(await totalOf(harness, 'relayed')).toBe(0);
   });
 
@@ -119,7 +122,7 @@
     const lacks = (shard: string, zone: string): boolean => shard === 'shard-c' && zone === 'north';
     const { harness, replicas } = await start('north', lacks);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
-    const far = ranOf(replicas, 'mine').filter(({ options }) => options.zone !== 'north');
+    const far = replicasThatRan(replicas, 'mine').filter(({ options }) => options.zone !== 'north');
     expect(far.map(({ options }) => options.service)).toEqual(['shard-c']);
   });
 
@@ -128,7 +131,7 @@
     const lacks = (shard: string, zone: string): boolean => zone === 'north' && lacking.has(shard);
     const { harness, replicas } = await start('north', lacks);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
-    const far = ranOf(replicas, 'mine').filter(({ options }) => options.zone !== 'north');
+    const far = replicasThatRan(replicas, 'mine').filter(({ options }) => options.zone !== 'north');
     expect(new Set(far.map(({ options }) => options.service))).toEqual(lacking);
     expect(zonesOf(far)).toHaveLength(1);
     expect(await totalOf(harness, 'relayed')).toBe(1);
@@ -142,7 +145,7 @@
     await harness.simulation.runFor(20);
     expectWhole(await harness.call({ path: '/q/1', id: 'soon' }), 'soon');
     expectWithinAttempts(replicas, 'soon');
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWhole(await harness.call({ path: '/q/1', id: 'later' }), 'later');
   });
 
@@ -154,11 +157,11 @@
     for (const replica of replicas) replica.workMs = 30;
     const sent = harness.send({ path: '/q/1', id: 'mine' });
     await harness.simulation.runFor(10);
-    const [leaf] = await takersOf(harness, 'begun');
+    const [leaf] = await gatewaysWith(harness, 'begun');
     if (leaf === undefined) return expect.fail('no leaf was asked');
     fail(leaf);
     expectWhole(await harness.simulation.settle(sent), 'mine');
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWithinAttempts(replicas, 'mine');
   });
 
@@ -174,7 +177,7 @@
       if (other.machine.zone === 'north') fail(other);
     }
     await harness.simulation.settle(sent);
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWithinAttempts(replicas, 'mine');
     expectWhole(await harness.call({ path: '/q/1', id: 'later' }), 'later');
   });
@@ -182,23 +185,23 @@
 
 describe('a root in a zone without replicas', () => {
   it('has one relay of another zone ask them all there', async () => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     expectWhole(await harness.call({ path: '/q/1', id: 'mine' }), 'mine');
-    const ran = ranOf(replicas, 'mine');
+    const ran = replicasThatRan(replicas, 'mine');
     expect(ran).toHaveLength(SHARDS.length);
     expect(zonesOf(ran)).toHaveLength(1);
     expect(await totalOf(harness, 'relayed')).toBe(1);
-    const [relay] = await takersOf(harness, 'relayed');
+    const [relay] = await gatewaysWith(harness, 'relayed');
     expect(relay?.machine.zone).toBe(zonesOf(ran)[0]);
   });
 
   it('tells the relay that the caller has gone, and it the replicas', async () => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     await expectStopWhenCallerGoes(harness, replicas);
   });
 
   it('answers without late shards when there are enough, before the target', async () => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     for (const replica of replicas) {
       if (replica.options.service === 'shard-b') replica.workMs = 1_000;
     }
@@ -208,12 +211,12 @@
     expect(answer.status).toBe(200);
     expect(answer.headers[NAMES.missingParts]).toBe('1');
     expect(clock.now() - begunAt).toBeLessThan(200);
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWithinAttempts(replicas, 'mine');
   });
 
   it('gets parts that come after the report of its relay, and before the cut-off', async () => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     for (const replica of replicas) {
       if (replica.options.service === 'shard-b') replica.workMs = LATE_WORK_MS;
     }
@@ -226,14 +229,14 @@
   });
 
   it('has second replicas asked of shards whose first one is late', async () => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     expectWhole(await harness.call({ path: '/q/1', id: 'first' }), 'first');
-    for (const replica of ranOf(replicas, 'first')) replica.workMs = 1_000;
+    for (const replica of replicasThatRan(replicas, 'first')) replica.workMs = 1_000;
     const answer = await harness.call({ path: '/q/1', id: 'mine' });
     expect(answer.status).toBe(200);
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWithinAttempts(replicas, 'mine');
-    expect(ranOf(replicas, 'mine').length).toBeGreaterThan(SHARDS.length);
+    expect(replicasThatRan(replicas, 'mine').length).toBeGreaterThan(SHARDS.length);
   });
 
   it.each([
@@ -241,15 +244,15 @@
     ['is killed', (leaf: OtherGateway) => leaf.machine.crash()],
     ['freezes', (leaf: OtherGateway) => leaf.machine.freeze(5_000)],
   ])('is answered for whole when the relay %s in its midst', async (_, fail) => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     for (const replica of replicas) replica.workMs = 30;
     const sent = harness.send({ path: '/q/1', id: 'mine' });
     await harness.simulation.runFor(15);
-    const relays = await takersOf(harness, 'relayed');
+    const relays = await gatewaysWith(harness, 'relayed');
     expect(relays).toHaveLength(1);
     for (const relay of relays) fail(relay);
     expectWhole(await harness.simulation.settle(sent), 'mine');
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWithinAttempts(replicas, 'mine');
   });
 
@@ -257,48 +260,48 @@
     ['is killed', (leaf: OtherGateway) => leaf.machine.crash()],
     ['freezes', (leaf: OtherGateway) => leaf.machine.freeze(5_000)],
   ])('is answered for whole when a leaf behind the relay %s', async (_, fail) => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     for (const replica of replicas) replica.workMs = 30;
     const sent = harness.send({ path: '/q/1', id: 'mine' });
     await harness.simulation.runFor(15);
-    const [relay] = await takersOf(harness, 'relayed');
-    const [leaf] = (await takersOf(harness, 'begun')).filter((other) => other !== relay);
+    const [relay] = await gatewaysWith(harness, 'relayed');
+    const [leaf] = (await gatewaysWith(harness, 'begun')).filter((other) => other !== relay);
     if (leaf === undefined) return expect.fail('no leaf but the relay was asked');
     fail(leaf);
     expectWhole(await harness.simulation.settle(sent), 'mine');
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWithinAttempts(replicas, 'mine');
   });
 
   it('is answered for whole when all leaves of the zone of its relay are killed', async () => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     expectWhole(await harness.call({ path: '/q/1', id: 'first' }), 'first');
-    const [zone] = zonesOf(ranOf(replicas, 'first'));
+    const [zone] = zonesOf(replicasThatRan(replicas, 'first'));
     for (const { machine } of harness.others) {
       if (machine.zone === zone) machine.crash();
     }
     expectWhole(await harness.call({ path: '/q/1', id: 'soon' }), 'soon');
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWhole(await harness.call({ path: '/q/1', id: 'later' }), 'later');
     expectWithinAttempts(replicas, 'soon');
   });
 
   it('is answered for whole when a shard has one replica left and the relay is killed', async () => {
     const lacks = (shard: string, zone: string): boolean => shard === 'shard-c' && zone !== 'south';
-    const { harness, replicas } = await start(BARE_ZONE, lacks);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS, lacks);
     for (const replica of replicas) replica.workMs = 30;
     const sent = harness.send({ path: '/q/1', id: 'mine' });
     await harness.simulation.runFor(15);
-    for (const relay of await takersOf(harness, 'relayed')) relay.machine.crash();
+    for (const relay of await gatewaysWith(harness, 'relayed')) relay.machine.crash();
     const answer = await harness.simulation.settle(sent);
     expect(answer.status).toBe(200);
-    await harness.simulation.runFor(NOTICE_MS);
+    await harness.simulation.runFor(DETECTION_MS);
     expectWithinAttempts(replicas, 'mine');
     expectWhole(await harness.call({ path: '/q/1', id: 'later' }), 'later');
   });
 
   it('keeps each request within its attempts while gateways freeze for moments', async () => {
-    const { harness, replicas } = await start(BARE_ZONE);
+    const { harness, replicas } = await start(ZONE_WITHOUT_REPLICAS);
     for (const replica of replicas) replica.workMs = 400;
     for (let call = 0; call < 8; call += 1) {
       const sent = harness.send({ path: '/q/1', id: `id-${call}` });
--- a/test/directory/directory-session.test.ts
+++ b/test/directory/directory-session.test.ts
@@ -28,7 +28,7 @@
   const simulation = new Simulation(7);
   const { clock } = simulation.createMachine('controller', 'a').environment;
   const history = new VersionHistory();
-  history.note(1, clock.now());
+  history.record(1, clock.now());
   const parts = { simulation, history, version: 1, isFirst: false };
   const sources: DirectorySessionSources = {
     clock,
@@ -51,7 +51,7 @@
 /** The controller accepts the next version now. */
 function accept(parts: Parts): void {
   parts.version += 1;
-  parts.history.note(parts.version, parts.sources.clock.now());
+  parts.history.record(parts.version, parts.sources.clock.now());
 }
 
 function toldVersions({ session, sources }: Parts): number[] {
--- a/test/evacuations/evacuation-register.test.ts
+++ b/test/evacuations/evacuation-register.test.ts
@@ -10,7 +10,7 @@
   type EvacuationOutcome,
 } from '../../src/evacuations/evacuation-register.js';
 
-function give(register: EvacuationRegister, order: EvacuationOrder): EvacuationOutcome {
+function applyOrder(register: EvacuationRegister, order: EvacuationOrder): EvacuationOutcome {
   return decodeEvacuationOutcome(register.apply(encodeEvacuationOrder(order)));
 }
 
@@ -23,14 +23,20 @@
   it('takes the same order again without a change', () => {
     const register = new EvacuationRegister();
     const start = { zone: 'a', isEvacuated: true };
-    expect(give(register, start)).toEqual({ status: EvacuationOrderStatus.Changed, revision: 1 });
-    expect(give(register, start)).toEqual({ status: EvacuationOrderStatus.Unchanged, revision: 1 });
+    expect(applyOrder(register, start)).toEqual({
+      status: EvacuationOrderStatus.Changed,
+      revision: 1,
+    });
+    expect(applyOrder(register, start)).toEqual({
+      status: EvacuationOrderStatus.Unchanged,
+      revision: 1,
+    });
     expect(register.evacuatedZones()).toEqual(['a']);
   });
 
   it('takes an end without a start', () => {
     const register = new EvacuationRegister();
-    const { status } = give(register, { zone: 'a', isEvacuated: false });
+    const { status } = applyOrder(register, { zone: 'a', isEvacuated: false });
     expect(status).toBe(EvacuationOrderStatus.Unchanged);
   });
 
@@ -38,11 +44,12 @@
     fc.assert(
       fc.property(ORDERS, ORDERS, (before, after) => {
         const register = new EvacuationRegister();
-        for (const order of before) give(register, order);
+        for (const order of before) applyOrder(register, order);
         const restored = new EvacuationRegister();
-        give(restored, { zone: 'c', isEvacuated: true });
+        applyOrder(restored, { zone: 'c', isEvacuated: true });
         restored.restore(register.snapshot());
-        for (const order of after) expect(give(restored, order)).toEqual(give(register, order));
+        for (const order of after)
+          expect(applyOrder(restored, order)).toEqual(applyOrder(register, order));
         expect([...restored.all()]).toEqual([...register.all()]);
         const last = new Map([...before, ...after].map((order) => [order.zone, order.isEvacuated]));
         const evacuated = [...last].filter(([, isEvacuated]) => isEvacuated).map(([zone]) => zone);
@@ -54,11 +61,11 @@
   it('remembers a bounded number of zones', () => {
     const register = new EvacuationRegister();
     for (let index = 0; index < 1_000; index += 1) {
-      give(register, { zone: `zone-${index}`, isEvacuated: true });
+      applyOrder(register, { zone: `zone-${index}`, isEvacuated: true });
     }
-    const { status } = give(register, { zone: 'one more', isEvacuated: true });
+    const { status } = applyOrder(register, { zone: 'one more', isEvacuated: true });
     expect(status).toBe(EvacuationOrderStatus.Refused);
-    expect(give(register, { zone: 'zone-7', isEvacuated: false }).revision).toBe(1_001);
+    expect(applyOrder(register, { zone: 'zone-7', isEvacuated: false }).revision).toBe(1_001);
   });
 });
 
@@ -68,14 +75,14 @@
       fc.property(ORDERS, fc.infiniteStream(fc.nat()), (orders, draws) => {
         const register = new EvacuationRegister();
         const words = orders.flatMap((order) => {
-          give(register, order);
+          applyOrder(register, order);
           return [...register.all()];
         });
         const known = new EvacuatedZones();
         const left = [...words, ...register.all()];
         while (left.length > 0) {
           const index = Number(draws.next().value) % left.length;
-          for (const word of left.splice(index, 1)) known.take(word);
+          for (const word of left.splice(index, 1)) known.update(word);
         }
         expect([...known.zones].sort()).toEqual(register.evacuatedZones());
       }),
--- a/test/gateway/evacuation.test.ts
+++ b/test/gateway/evacuation.test.ts
@@ -3,10 +3,10 @@
 import { GatewayHarness, textOf } from './gateway-harness.js';
 
 /** Time in which an order is in force at every gateway: far below the five seconds allowed. */
-const IN_FORCE_MS = 1_500;
-const REST_MS = 12_000;
+const PROPAGATION_MS = 1_500;
+const OBSERVED_MS = 12_000;
 /** The way to the gateway and back; waiting for room would take 40 ms more. */
-const AT_ONCE_MS = 30;
+const IMMEDIATE_ANSWER_MS = 30;
 
 interface TwoZones {
   readonly harness: GatewayHarness;
@@ -35,21 +35,21 @@
     const { harness, near } = await startTwoZones();
     expect(await answersOf(harness, 4)).toContain('near');
     expect(await harness.evacuate('nayoro', true)).toBe(200);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { arrivals, healthChecks } = near;
     expect(await answersOf(harness, 10)).toEqual(new Set(['far']));
-    await harness.simulation.runFor(REST_MS);
+    await harness.simulation.runFor(OBSERVED_MS);
     expect(near.arrivals).toBe(arrivals);
     expect(near.healthChecks).toBe(healthChecks);
     expect(await harness.evacuate('nayoro', false, 2)).toBe(200);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     expect(await answersOf(harness, 10)).toContain('near');
   });
 
   it('gets no hedge and no retry', async () => {
     const { harness, near, far } = await startTwoZones();
     await harness.evacuate('wakkanai', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     near.workMs = 900;
     expect((await harness.call({ path: '/ledger/1' })).status).toBe(200);
     expect(far.arrivals).toBe(0);
@@ -58,7 +58,7 @@
   it('gets nothing from a gateway that starts meanwhile', async () => {
     const { harness, near } = await startTwoZones();
     await harness.evacuate('nayoro', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { arrivals } = near;
     await harness.restartGateway();
     for (let index = 0; index < 30; index += 1) await harness.call({ path: '/ledger/1' });
@@ -68,13 +68,13 @@
   it('stays evacuated over a loss of all power', async () => {
     const { harness, near } = await startTwoZones();
     await harness.evacuate('nayoro', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { arrivals } = near;
     harness.losePower();
     await harness.restartControllers();
     await harness.restartGateway();
     for (let index = 0; index < 30; index += 1) await harness.call({ path: '/ledger/1' });
-    await harness.simulation.runFor(REST_MS);
+    await harness.simulation.runFor(OBSERVED_MS);
     expect(textOf(await harness.call({ path: '/ledger/1' }))).toBe('far');
     expect(near.arrivals).toBe(arrivals);
   });
@@ -83,12 +83,12 @@
     const { harness, near, far } = await startTwoZones();
     await harness.evacuate('nayoro', true);
     await harness.evacuate('wakkanai', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const { clock } = harness.machine.environment;
     const sentAt = clock.now();
     const answer = await harness.call({ path: '/ledger/1' });
     expect(answer.status).toBe(503);
-    expect(clock.now() - sentAt).toBeLessThan(AT_ONCE_MS);
+    expect(clock.now() - sentAt).toBeLessThan(IMMEDIATE_ANSWER_MS);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
     expect([near.arrivals, far.arrivals]).toEqual([0, 0]);
   });
@@ -101,7 +101,7 @@
     const shards = ['shard-a', 'shard-b'];
     await harness.putRoutes([{ pathPrefix: '/all/', shards, topRecords: 2 }]);
     await harness.evacuate('nayoro', true);
-    await harness.simulation.runFor(IN_FORCE_MS);
+    await harness.simulation.runFor(PROPAGATION_MS);
     const answer = await harness.call({ path: '/all/1' });
     expect(textOf(answer)).toBe('c'.repeat(16) + 'b'.repeat(16));
     expect(near.arrivals).toBe(0);
--- a/test/gateway/gateway-harness.ts
+++ b/test/gateway/gateway-harness.ts
@@ -29,7 +29,7 @@
 const GATHER_PORT = 8002;
 const REPLICA_PORT = 9000;
 /** In which registrations and route documents reach the gateway. Milliseconds. */
-const SPREAD_MS = 3_000;
+const PROPAGATION_MS = 3_000;
 export const HOST = 'desk.example';
 const SECOND_SENDS = { ratio: 0.2, slack: 56 };
 
@@ -243,8 +243,8 @@
   ): Promise<ExchangeReplica> {
     this.replicas += 1;
     const machine = this.simulation.createMachine(`${service}-${this.replicas}`, zone);
-    const life = bornAt === undefined ? {} : { bornAt };
-    const replica = this.createReplica(machine, service, zone, life);
+    const incarnation = bornAt === undefined ? {} : { bornAt };
+    const replica = this.createReplica(machine, service, zone, incarnation);
     replica.content = content;
     await this.simulation.settle(replica.start());
     return replica;
@@ -266,8 +266,8 @@
     machine.restart({ keepDisk: true });
     this.replicas += 1;
     const { service, zone, replicaId } = ended.options;
-    const life = bornAt === undefined ? {} : { replicaId, bornAt };
-    const replica = this.createReplica(machine, service, zone, life);
+    const incarnation = bornAt === undefined ? {} : { replicaId, bornAt };
+    const replica = this.createReplica(machine, service, zone, incarnation);
     replica.content = ended.content;
     replica.workMs = ended.workMs;
     void replica.start();
@@ -278,7 +278,7 @@
     machine: SimulatedMachine,
     service: string,
     zone: string,
-    life: Pick<ExchangeReplicaOptions, 'bornAt'> & { replicaId?: string } = {},
+    incarnation: Pick<ExchangeReplicaOptions, 'bornAt'> & { replicaId?: string } = {},
   ): ExchangeReplica {
     const replica = new ExchangeReplica(machine.environment, {
       replicaId: `${service}-${this.replicas}`,
@@ -286,7 +286,7 @@
       address: { host: machine.host, port: REPLICA_PORT },
       zone,
       controllers: this.group.machines.map(({ host }) => ({ host, port: REGISTRATION_PORT })),
-      ...life,
+      ...incarnation,
     });
     this.machines.set(replica, machine);
     return replica;
@@ -323,7 +323,7 @@
     };
     const sent = await this.group.putRoutes(this.group.machineAt(0), JSON.stringify(document));
     expect(sent.status).toBe(200);
-    await this.simulation.runFor(SPREAD_MS);
+    await this.simulation.runFor(PROPAGATION_MS);
   }
 
   /** Sends one request, to the first gateway if no other is named; not yet settled. */
--- a/test/gateway/replica-model.ts
+++ b/test/gateway/replica-model.ts
@@ -3,7 +3,7 @@
 import { NotRunReason } from '../../src/gateway/attempt-result.js';
 import type { CallerRequest } from '../../src/gateway/caller-request.js';
 import type { ReplicaTarget } from '../../src/gateway/replica-target.js';
-import type { AttemptSender, Sending } from '../../src/gateway/send-attempt.js';
+import type { AttemptSender, SendOptions } from '../../src/gateway/attempt-sender.js';
 import type { Clock } from '../../src/seams/clock.js';
 
 /** How a modelled replica takes connections and speaks of its load. */
@@ -12,13 +12,13 @@
   /** It says nothing of its load. */
   Silent = 'silent',
   /** It always says that it is idle. */
-  SaysIdle = 'saysIdle',
+  ReportsIdle = 'saysIdle',
   /** It always says that its queue is full. */
-  SaysFull = 'saysFull',
+  ReportsFull = 'saysFull',
   /** It takes requests and never answers. */
   Hangs = 'hangs',
   /** Its listener drops opening packets. */
-  DropsOpenings = 'dropsOpenings',
+  DropsConnections = 'dropsOpenings',
 }
 
 /** In which the client gives up an opening by itself. Milliseconds. */
@@ -55,8 +55,9 @@
   }
 
   get load(): { running: number; waiting: number; slots: number } {
-    if (this.fault === ModelFault.SaysIdle) return { running: 0, waiting: 0, slots: SLOTS };
-    if (this.fault === ModelFault.SaysFull) return { running: SLOTS, waiting: 8_000, slots: SLOTS };
+    if (this.fault === ModelFault.ReportsIdle) return { running: 0, waiting: 0, slots: SLOTS };
+    if (this.fault === ModelFault.ReportsFull)
+      return { running: SLOTS, waiting: 8_000, slots: SLOTS };
     return { running: this.running, waiting: this.queue.length, slots: SLOTS };
   }
 
@@ -72,10 +73,10 @@
   clock: Clock,
   models: ReadonlyMap<string, ReplicaModel>,
 ): Pick<AttemptSender, 'send'> {
-  const exchange = async (target: ReplicaTarget, sending: Sending): Promise<AttemptResult> => {
+  const exchange = async (target: ReplicaTarget, sending: SendOptions): Promise<AttemptResult> => {
     const model = models.get(target.entry.replicaId);
-    if (model === undefined || model.fault === ModelFault.DropsOpenings) {
-      await clock.sleep(sending.connectWithin ?? CONNECT_TIMEOUT_MS);
+    if (model === undefined || model.fault === ModelFault.DropsConnections) {
+      await clock.sleep(sending.connectTimeout ?? CONNECT_TIMEOUT_MS);
       return { kind: 'notRun', reason: NotRunReason.Unreachable };
     }
     await clock.sleep(ROUND_TRIP_MS);
@@ -89,7 +90,7 @@
     return { kind: 'answered', answer: ANSWER };
   };
   return {
-    send: (_request: CallerRequest, target: ReplicaTarget, sending: Sending) => {
+    send: (_request: CallerRequest, target: ReplicaTarget, sending: SendOptions) => {
       const aborted = new Promise<AttemptResult>((resolve) => {
         sending.signal.addEventListener('abort', () => resolve({ kind: 'cancelled' }));
       });
--- a/test/gateway/table-in-force.test.ts
+++ b/test/gateway/table-in-force.test.ts
@@ -3,7 +3,7 @@
 
 const ROUTE = { pathPrefix: '/ledger/', service: 'ledger' };
 /** The request has arrived, and the first routes have not. */
-const WAITING_MS = 3;
+const ARRIVAL_MS = 3;
 
 describe('a gateway without routes', () => {
   it('serves what came just before its first routes', async () => {
@@ -34,7 +34,7 @@
     await harness.restartGateway();
     const gone = new AbortController();
     const answer = harness.send({ path: '/ledger/1', signal: gone.signal }).catch(() => undefined);
-    await harness.simulation.runFor(WAITING_MS);
+    await harness.simulation.runFor(ARRIVAL_MS);
     gone.abort();
     await answer;
     await harness.simulation.runFor(2_000);
--- a/test/gateway/tenant-identity.test.ts
+++ b/test/gateway/tenant-identity.test.ts
@@ -27,7 +27,7 @@
 };
 /** In which gateways connect to each other. Milliseconds. */
 const CONNECT_MS = 2_000;
-const UNEVENTFUL: GatewayOverrides = {};
+const DEFAULT_SETTINGS: GatewayOverrides = {};
 
 interface Fleet {
   readonly harness: GatewayHarness;
@@ -38,7 +38,7 @@
 async function start(
   route: TestRoute,
   tenants: typeof TENANTS | 'none' = TENANTS,
-  overrides = UNEVENTFUL,
+  overrides = DEFAULT_SETTINGS,
 ): Promise<Fleet> {
   const harness = await GatewayHarness.start(7, overrides);
   const split = route.split?.map(({ service }) => service);
@@ -148,9 +148,9 @@
     mechanisms: { aggregation: true },
   };
   const ways: readonly [string, TestRoute, GatewayOverrides][] = [
-    ['of one service', { pathPrefix: '/q/', service: 'one' }, UNEVENTFUL],
-    ['of a split', { pathPrefix: '/q/', split }, UNEVENTFUL],
-    ['of all shards', fanOut, UNEVENTFUL],
+    ['of one service', { pathPrefix: '/q/', service: 'one' }, DEFAULT_SETTINGS],
+    ['of a split', { pathPrefix: '/q/', split }, DEFAULT_SETTINGS],
+    ['of all shards', fanOut, DEFAULT_SETTINGS],
     ['of shards that other gateways ask', fanOut, divided],
   ];
   for (const [name, route, overrides] of ways) {
--- a/test/gateway/tenant-limits.test.ts
+++ b/test/gateway/tenant-limits.test.ts
@@ -9,13 +9,13 @@
 ];
 const quota = { windowMs: 5_000, overrun: 0.1, slack: 4 };
 /** Of tenant `one` in a window. */
-const ALLOWED = (2 * 5 + 2) * 1.1 + 4;
+const MAXIMUM_ADMITTED = (2 * 5 + 2) * 1.1 + 4;
 
 function callOf(key: string): { path: string; headers: Record<string, string> } {
   return { path: '/ledger/a', headers: { [DEFAULT_EXCHANGE_HEADERS.apiKey]: key } };
 }
 
-async function startedWith(others: number): Promise<GatewayHarness> {
+async function startFleet(others: number): Promise<GatewayHarness> {
   const harness = await GatewayHarness.start(7, { others, tenants: { quota } });
   await harness.addReplica('ledger', 'found');
   await harness.putRoutes(ROUTES, TENANTS);
@@ -23,7 +23,7 @@
 }
 
 it('keeps a tenant to its limit over all gateways, and another without one to none', async () => {
-  const harness = await startedWith(3);
+  const harness = await startFleet(3);
   const machines = [harness.machine, ...harness.others.map(({ machine }) => machine)];
   const statuses: number[] = [];
   const free: number[] = [];
@@ -37,14 +37,14 @@
   const admitted = statuses.filter((status) => status === 200).length;
   expect(statuses.length).toBe(100);
   expect(statuses.filter((status) => status === 429).length).toBe(100 - admitted);
-  expect(admitted).toBeLessThanOrEqual(ALLOWED);
+  expect(admitted).toBeLessThanOrEqual(MAXIMUM_ADMITTED);
   expect(admitted).toBeGreaterThanOrEqual(10);
   expect(free).toEqual(free.map(() => 200));
   expect(free.length).toBe(100);
 });
 
 it('tells a refused caller when to come back, and admits it then', async () => {
-  const harness = await startedWith(0);
+  const harness = await startFleet(0);
   let refused = await harness.call(callOf('key-one'));
   for (let count = 0; count < 20 && refused.status === 200; count += 1) {
     refused = await harness.call(callOf('key-one'));
@@ -57,7 +57,7 @@
 });
 
 it('goes on with the next leader of the controllers', async () => {
-  const harness = await startedWith(1);
+  const harness = await startFleet(1);
   expect((await harness.call(callOf('key-one'))).status).toBe(200);
   for (const machine of harness.group.machines.slice(0, 1)) machine.crash();
   await harness.simulation.runFor(5_000);
--- a/test/router/shard-execution.test.ts
+++ b/test/router/shard-execution.test.ts
@@ -95,11 +95,11 @@
       ...standard,
       replicaSelector: { select: ([first]) => first },
       hedge: {
-        recordPrimary: () => undefined,
+        recordFirstAttempt: () => undefined,
         recordLatency: () => undefined,
         recordUnfinished: () => undefined,
         hedgeDelay: () => HEDGE_DELAY_MS,
-        takeBudget: () => (this.hedgesLeft -= 1) >= 0,
+        tryTakeBudget: () => (this.hedgesLeft -= 1) >= 0,
       },
       completion: {
         recordReply: (sinceAsked) => this.recordedReplies.push(sinceAsked),
