--- a/src/router/backend-attempt.ts
+++ b/src/router/backend-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One request to one replica. Whatever comes back is verified before anything
- * of it is used; a reply that is not this attempt's own is counted and dropped.
+ * Sends one attempt to one replica. The reply is verified before any part of it is
+ * used; a reply that does not belong to this attempt is counted and dropped.
  */
 import { HttpClientError } from '../errors/http-client-error.js';
 import type { ReplicaRecord } from '../membership/replica-record.js';
@@ -10,15 +10,15 @@
 import type { QueryContext } from './query-context.js';
 import {
   findMismatch,
-  readDisposition,
-  readReplyMark,
+  parseDisposition,
+  parseReplyMark,
   type AttemptIdentity,
   type DroppedReplyReason,
 } from './reply-verification.js';
-import type { ReplyBuffer } from './reply-buffer.js';
+import type { ReplyMemoryBudget } from './reply-memory-budget.js';
 import type { RouterContext } from './router-context.js';
 
-/** Where the attempt goes. */
+/** Replica, shard and snapshot that an attempt is for. */
 export interface AttemptTarget {
   readonly record: ReplicaRecord;
   readonly shardId: string;
@@ -26,7 +26,7 @@
   readonly snapshot: string;
 }
 
-/** One attempt. */
+/** One attempt; {@link BackendAttempt.run} may be called once. */
 export class BackendAttempt {
   private readonly identity: AttemptIdentity;
   private mismatch: DroppedReplyReason | undefined;
@@ -36,7 +36,7 @@
     private readonly router: RouterContext,
     private readonly query: QueryContext,
     private readonly target: AttemptTarget,
-    private readonly replies: ReplyBuffer,
+    private readonly replyMemory: ReplyMemoryBudget,
   ) {
     this.identity = {
       requestId: query.backendRequestId,
@@ -47,12 +47,12 @@
     };
   }
 
-  /** Sends it and judges what comes back. Never throws; aborting `signal` cancels it. */
+  /** Sends the attempt and classifies the reply. Never throws; aborting `signal` cancels it. */
   async run(signal: AbortSignal): Promise<AttemptOutcome> {
     const { record } = this.target;
     record.beginAttempt();
     const outcome = await this.exchange(signal);
-    if (outcome.kind === 'failed') this.replies.release(this.bytesReceived);
+    if (outcome.kind === 'failed') this.replyMemory.release(this.bytesReceived);
     record.endAttempt();
     return outcome;
   }
@@ -62,9 +62,9 @@
     const startedAt = clock.now();
     try {
       const response = await this.send(signal, startedAt);
-      return this.judge(response, clock.now() - startedAt);
+      return this.classifyResponse(response, clock.now() - startedAt);
     } catch (error) {
-      return this.judgeError(error, clock.now() - startedAt);
+      return this.classifyError(error, clock.now() - startedAt);
     }
   }
 
@@ -77,8 +77,8 @@
       body: this.query.queryText,
       signal,
       freshConnection: !request.repeatable,
-      acceptResponse: (headers) => this.accepts(headers),
-      acceptBytes: (bytes) => this.takeBytes(bytes),
+      acceptResponse: (headers) => this.verifyHeaders(headers),
+      acceptBytes: (bytes) => this.reserveBytes(bytes),
     });
   }
 
@@ -95,28 +95,28 @@
     };
   }
 
-  private takeBytes(bytes: number): boolean {
+  private reserveBytes(bytes: number): boolean {
     this.bytesReceived += bytes;
-    return this.replies.take(bytes);
+    return this.replyMemory.reserve(bytes);
   }
 
-  /** Asked when the header is there, so that an untrustworthy connection is closed at once. */
-  private accepts(headers: HttpHeaders): boolean {
+  /** Called as soon as the headers have arrived, so that a mismatch closes the connection at once. */
+  private verifyHeaders(headers: HttpHeaders): boolean {
     const { skipReplyMatching } = this.router.faults;
     this.mismatch = skipReplyMatching ? undefined : findMismatch(this.identity, headers);
     return this.mismatch === undefined;
   }
 
-  private judge(response: HttpClientResponse, latency: number): AttemptOutcome {
+  private classifyResponse(response: HttpClientResponse, latency: number): AttemptOutcome {
     const { headers } = response;
-    if (!this.accepts(headers)) return this.drop(this.mismatch ?? 'missing_echo');
+    if (!this.verifyHeaders(headers)) return this.dropReply(this.mismatch ?? 'missing_echo');
     const { registry } = this.router;
     const { record, snapshot, shardId } = this.target;
-    const mark = readReplyMark(headers);
+    const mark = parseReplyMark(headers);
     if (mark !== undefined) registry.onReplyMark(record, mark);
-    switch (readDisposition(headers)) {
+    switch (parseDisposition(headers)) {
       case 'answered':
-        return this.judgeAnswer(response, latency);
+        return this.classifyAnswer(response, latency);
       case 'not_started':
         record.recordFailure();
         return failedAttempt('shed', false);
@@ -128,13 +128,13 @@
         this.query.service.policies.hedge.recordLatency(shardId, latency);
         return failedAttempt('backend_failed', true);
       case undefined:
-        return this.drop('unknown_disposition');
+        return this.dropReply('unknown_disposition');
     }
   }
 
-  private judgeAnswer(response: HttpClientResponse, latency: number): AttemptOutcome {
-    const resultText = readJsonText(response.body);
-    if (resultText === undefined) return this.drop('malformed_body');
+  private classifyAnswer(response: HttpClientResponse, latency: number): AttemptOutcome {
+    const resultText = decodeJsonText(response.body);
+    if (resultText === undefined) return this.dropReply('malformed_body');
     const { record, snapshot, shardId } = this.target;
     this.router.registry.onAnswer(record, snapshot, latency);
     this.query.service.policies.outlierEjection.recordSuccess(record.process);
@@ -142,14 +142,14 @@
     return { kind: 'answered', resultText, bytes: response.body.length };
   }
 
-  private judgeError(error: unknown, elapsed: number): AttemptOutcome {
+  private classifyError(error: unknown, elapsed: number): AttemptOutcome {
     if (!(error instanceof HttpClientError)) return failedAttempt('connection_lost', true);
-    if (this.mismatch !== undefined) return this.drop(this.mismatch);
+    if (this.mismatch !== undefined) return this.dropReply(this.mismatch);
     const { kind, requestSent } = error;
-    if (kind === 'aborted') return this.giveUp(elapsed, requestSent);
-    if (kind === 'response_too_large') return this.drop('too_large');
-    if (kind === 'malformed_response') return this.drop('malformed_response');
-    if (kind === 'response_truncated') return this.drop('truncated');
+    if (kind === 'aborted') return this.recordCancellation(elapsed, requestSent);
+    if (kind === 'response_too_large') return this.dropReply('too_large');
+    if (kind === 'malformed_response') return this.dropReply('malformed_response');
+    if (kind === 'response_truncated') return this.dropReply('truncated');
     this.recordFailure();
     return failedAttempt(requestSent ? 'connection_lost' : 'connect_failed', requestSent);
   }
@@ -160,23 +160,23 @@
     this.query.service.policies.outlierEjection.recordFailure(record.process);
   }
 
-  /** Cancelled: that there was no reply for so long is all that can be learned from it. */
-  private giveUp(elapsed: number, requestSent: boolean): AttemptOutcome {
+  /** Records the elapsed time of a cancelled attempt: a lower bound of the replica's latency. */
+  private recordCancellation(elapsed: number, requestSent: boolean): AttemptOutcome {
     this.target.record.recordUnfinished(elapsed);
     this.query.service.policies.hedge.recordUnfinished(this.target.shardId, elapsed);
     return failedAttempt('not_waited_for', requestSent);
   }
 
-  /** The request was sent and its reply is lost, so it may have been run. */
-  private drop(reason: DroppedReplyReason): AttemptOutcome {
+  /** Counts a reply that cannot be used. The request was sent, so it may have run. */
+  private dropReply(reason: DroppedReplyReason): AttemptOutcome {
     this.router.metrics.droppedReplies.inc({ reason });
     this.recordFailure();
     return failedAttempt('bad_reply', true);
   }
 }
 
-/** The body as text when it is JSON in UTF-8, else undefined. */
-function readJsonText(body: Uint8Array): string | undefined {
+/** The body as text when it is valid JSON in UTF-8, else undefined. */
+function decodeJsonText(body: Uint8Array): string | undefined {
   try {
     const text = new TextDecoder('utf-8', { fatal: true }).decode(body);
     JSON.parse(text);
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -1,4 +1,4 @@
-/** The query daemon: serves callers, asks back ends, follows the configuration. */
+/** The router daemon: serves callers, queries back ends and applies configuration revisions. */
 import { createAdapter } from '@most/adapter';
 import { runEffects, tap, until } from '@most/core';
 import type { Stream } from '@most/types';
@@ -12,33 +12,38 @@
 import type { ConfigurationSource } from '../settings/configuration-source.js';
 import type { ConfigurationState } from '../settings/configuration-state.js';
 import { createClockScheduler } from './clock-scheduler.js';
-import { closingConnection, methodNotAllowed, noSuchPath, textResponse } from './http-responses.js';
+import {
+  withConnectionClose,
+  methodNotAllowed,
+  pathNotFound,
+  textResponse,
+} from './http-responses.js';
 import { IdentifierSequence } from './identifier-sequence.js';
 import { InFlightQueries } from './in-flight-queries.js';
-import { IDS_PER_OUTCOME, MAXIMUM_OUTCOME_BYTES, OutcomeLedger } from './outcome-ledger.js';
+import { REQUEST_IDS_PER_OUTCOME, MAXIMUM_OUTCOME_BYTES, OutcomeStore } from './outcome-store.js';
 import { QueryEndpoint } from './query-endpoint.js';
-import { serviceOfPath } from './query-reader.js';
+import { parseServiceName } from './query-parser.js';
 import type { RouterContext } from './router-context.js';
 import { NO_ROUTER_FAULTS, type RouterFaults } from './router-faults.js';
 import { RouterMetrics } from './router-metrics.js';
 import { RouterReadiness } from './router-readiness.js';
 import { ServiceDirectory } from './service-directory.js';
 
-/** Where a daemon's lines and counters go. */
+/** Destinations of a daemon's log lines and metrics. */
 export interface RouterTelemetry {
   readonly logger: Logger;
   readonly registry: Registry;
 }
 
 /**
- * Time between readiness going false and the first closed connection. Longer
- * than the 5 s for which a caller's connection may be idle: every answer of this
- * time ends its connection, so that at its end none is left on which a caller
- * may just be sending a request. Milliseconds.
+ * Minimum time between readiness turning false and the listener's close. Longer than the 5 s for
+ * which a caller's connection may be idle: every response during this time closes its
+ * connection, so that afterwards none is left on which a caller could be sending a
+ * request. Milliseconds.
  */
 export const STOP_NOTICE_MS = 5_500;
 
-/** One running router. */
+/** A running router; it stops when {@link RouterDaemon.stop} is called. */
 export class RouterDaemon {
   private readonly context: RouterContext;
   private readonly directory: ServiceDirectory;
@@ -80,7 +85,8 @@
   }
 
   /**
-   * Starts a router that listens and follows `source`, which stays the caller's to close.
+   * Starts a router that listens and applies the revisions of `source`. The caller remains
+   * responsible for closing `source`.
    *
    * @throws ConnectionError when the listener cannot be opened.
    */
@@ -92,19 +98,19 @@
     faults: RouterFaults = NO_ROUTER_FAULTS,
   ): Promise<RouterDaemon> {
     const daemon = new RouterDaemon(environment, configuration, source, telemetry, faults);
-    await daemon.open();
+    await daemon.listen();
     return daemon;
   }
 
-  /** Where callers reach it. */
+  /** Address of the HTTP listener. Throws before the listener is open. */
   get address(): Address {
-    if (this.listener === undefined) throw new Error('the router does not listen yet');
+    if (this.listener === undefined) throw new Error('the router is not listening yet');
     return this.listener.address;
   }
 
   /**
-   * Stops without cutting anything off: no new work from now on, every query in
-   * flight is answered, connections are closed as they fall idle.
+   * Drains and stops the router: it refuses new queries, answers every query in flight and
+   * closes connections as they become idle. Further calls return the same promise.
    */
   stop(): Promise<void> {
     this.stopped ??= this.shutDown();
@@ -113,25 +119,27 @@
 
   private createEndpoint(): QueryEndpoint {
     const outcomes = this.configuration.limits.maximumRecordedOutcomes;
-    const ledger = new OutcomeLedger(this.context.environment.clock, {
+    const outcomeStore = new OutcomeStore(this.context.environment.clock, {
       outcomes,
-      ids: outcomes * IDS_PER_OUTCOME,
+      requestIds: outcomes * REQUEST_IDS_PER_OUTCOME,
       bytes: MAXIMUM_OUTCOME_BYTES,
     });
     return new QueryEndpoint({
       router: this.context,
       directory: this.directory,
       readiness: this.readiness,
-      ledger,
+      outcomeStore,
       inFlight: this.inFlight,
       logger: this.logger,
     });
   }
 
-  private async open(): Promise<void> {
+  private async listen(): Promise<void> {
     const { limits, listen } = this.configuration;
     const { network } = this.context.environment;
-    this.listener = await network.listenHttp(listen.http, limits, (request) => this.route(request));
+    this.listener = await network.listenHttp(listen.http, limits, (request) =>
+      this.handleRequest(request),
+    );
     this.logger.info('router listening', { http: formatAddress(this.address) });
     const { registry } = this.context;
     this.subscribe(this.source.revisions, (state) => this.applyRevision(state));
@@ -145,54 +153,54 @@
     const scheduler = createClockScheduler(this.context.environment.clock);
     const untilStopped = until(this.subscriptionsEnd, stream);
     runEffects(tap(consume, untilStopped), scheduler).catch((error: unknown) => {
-      this.logger.error('subscription ended', { reason: String(error) });
+      this.logger.error('subscription failed', { reason: String(error) });
     });
   }
 
   private applyRevision(state: ConfigurationState): void {
     const isFirst = this.directory.revision === undefined;
     this.directory.apply(state);
-    this.readiness.noteConfigured();
+    this.readiness.markConfigured();
     if (isFirst) void this.becomeReady(state.revision);
   }
 
   private async becomeReady(revision: number): Promise<void> {
     await this.context.registry.firstReports();
-    this.readiness.noteReported();
+    this.readiness.markReplicasPolled();
     if (!this.readiness.isStopping) this.logger.info('router ready', { revision });
   }
 
-  private async route(request: HttpRequest): Promise<HttpResponse> {
+  private async handleRequest(request: HttpRequest): Promise<HttpResponse> {
     const response = await this.respond(request);
-    return this.readiness.isStopping ? closingConnection(response) : response;
+    return this.readiness.isStopping ? withConnectionClose(response) : response;
   }
 
   private async respond(request: HttpRequest): Promise<HttpResponse> {
     const { method, path } = request;
-    const service = serviceOfPath(path);
+    const service = parseServiceName(path);
     if (service !== undefined && method === 'POST') return this.endpoint.handle(request, service);
     if (path === '/livez') return textResponse(200, 'live\n');
-    if (path === '/readyz') return this.readyz();
-    if (path === '/metrics') return this.metrics();
-    return service === undefined ? noSuchPath() : methodNotAllowed();
+    if (path === '/readyz') return this.respondReadiness();
+    if (path === '/metrics') return this.respondMetrics();
+    return service === undefined ? pathNotFound() : methodNotAllowed();
   }
 
-  private readyz(): HttpResponse {
-    const reason = this.readiness.reason();
+  private respondReadiness(): HttpResponse {
+    const reason = this.readiness.notReadyReason();
     return reason === undefined ? textResponse(200, 'ready\n') : textResponse(503, `${reason}\n`);
   }
 
-  private async metrics(): Promise<HttpResponse> {
+  private async respondMetrics(): Promise<HttpResponse> {
     const { registry } = this.telemetry;
     return textResponse(200, await registry.metrics(), registry.contentType);
   }
 
   private async shutDown(): Promise<void> {
-    this.readiness.noteStopping();
+    this.readiness.markStopping();
     this.logger.info('router stopping', { inFlight: this.inFlight.size });
     if (this.context.faults.cutInFlightAtStop) this.inFlight.cancelAll();
     await this.context.environment.clock.sleep(STOP_NOTICE_MS);
-    await this.inFlight.drained();
+    await this.inFlight.whenDrained();
     await this.listener?.close();
     this.endSubscriptions(undefined);
     await this.context.registry.stop();
--- a/src/router/router-readiness.ts
+++ b/src/router/router-readiness.ts
@@ -1,43 +1,47 @@
-/** Whether a router takes new queries, and why not. */
+/** Decides whether a router accepts new queries. */
 import type { Logger } from '../observability/logger.js';
 import type { ConfigurationSource } from '../settings/configuration-source.js';
 import { refusedNotRun } from './query-error.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
-/** When to come back to a router that is starting, stopping or cut off. Milliseconds. */
+/** Retry time told to callers while the router starts, stops or has stale settings. Milliseconds. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Reasons not to take a query. */
+/**
+ * Why the router is not ready or refuses a query: the body of `/readyz` and the `reason`
+ * label of refusals. `no_reports` appears only at `/readyz` and refuses no query;
+ * `stale_settings` only refuses queries of services that are configured to refuse them.
+ */
 export type NotReadyReason = 'stopping' | 'no_configuration' | 'no_reports' | 'stale_settings';
 
-const MESSAGES: Readonly<Record<NotReadyReason, string>> = {
+const REFUSAL_MESSAGES: Readonly<Record<NotReadyReason, string>> = {
   stopping: 'this router is stopping',
   no_configuration: 'this router has no configuration yet',
   no_reports: 'this router has not asked the replicas for their reports yet',
   stale_settings: 'this router cannot tell whether its settings are still in force',
 };
 
-/** State of one router. */
+/** Startup, stop and freshness state of one router. */
 export class RouterReadiness {
   private stopping = false;
-  private configured = false;
-  private reported = false;
-  private wasFresh = true;
+  private hasConfiguration = false;
+  private hasPolledReplicas = false;
+  private lastLoggedIsFresh = true;
 
   constructor(
     private readonly source: ConfigurationSource,
     private readonly logger: Logger,
   ) {}
 
-  noteConfigured(): void {
-    this.configured = true;
+  markConfigured(): void {
+    this.hasConfiguration = true;
   }
 
-  noteReported(): void {
-    this.reported = true;
+  markReplicasPolled(): void {
+    this.hasPolledReplicas = true;
   }
 
-  noteStopping(): void {
+  markStopping(): void {
     this.stopping = true;
   }
 
@@ -45,26 +49,26 @@
     return this.stopping;
   }
 
-  /** Why the router as a whole takes no query; undefined when it does. For `/readyz`. */
-  reason(): NotReadyReason | undefined {
+  /** Why the router is not ready, for `/readyz`; undefined when it is ready. */
+  notReadyReason(): NotReadyReason | undefined {
     if (this.stopping) return 'stopping';
-    if (!this.configured) return 'no_configuration';
-    return this.reported ? undefined : 'no_reports';
+    if (!this.hasConfiguration) return 'no_configuration';
+    return this.hasPolledReplicas ? undefined : 'no_reports';
   }
 
-  /** Why a query of `service` is not taken; undefined when it is. */
-  reasonFor(service: ServiceRuntime | undefined): NotReadyReason | undefined {
-    const reason = this.reason();
+  /** Why a query of `service` is refused; undefined when it is accepted. */
+  queryRefusalReason(service: ServiceRuntime | undefined): NotReadyReason | undefined {
+    const reason = this.notReadyReason();
     if (reason !== undefined && reason !== 'no_reports') return reason;
     const isRefusing = service?.settings.staleSettings === 'refuse';
     return isRefusing && !this.checkFreshness() ? 'stale_settings' : undefined;
   }
 
-  /** Whether the settings are fresh; logs every change. */
+  /** Whether the settings are confirmed to be the latest; logs every change of the result. */
   checkFreshness(): boolean {
     const { fresh, committedRevision } = this.source.freshness();
-    if (fresh !== this.wasFresh) {
-      this.wasFresh = fresh;
+    if (fresh !== this.lastLoggedIsFresh) {
+      this.lastLoggedIsFresh = fresh;
       const message = fresh ? 'settings are fresh again' : 'settings are stale';
       this.logger.warn(message, { committedRevision });
     }
@@ -72,7 +76,7 @@
   }
 }
 
-/** The refusal for a reason. */
+/** The error with which a query is refused for `reason`. */
 export function notReadyError(reason: NotReadyReason): ReturnType<typeof refusedNotRun> {
-  return refusedNotRun(MESSAGES[reason], RETRY_AFTER_MS);
+  return refusedNotRun(REFUSAL_MESSAGES[reason], RETRY_AFTER_MS);
 }
--- a/src/router/shard-execution.ts
+++ b/src/router/shard-execution.ts
@@ -1,8 +1,7 @@
 /**
- * One shard's part of one query: a first attempt, a hedge when it is slow, and
- * retries when it fails, each at another replica where there is one. A request
- * that is not repeatable is never hedged, and is not retried once an attempt
- * may have been run.
+ * Queries one shard for one query: a first attempt, a hedge when it is slow, and retries
+ * when it fails, each at another replica where there is one. A request that is not
+ * repeatable is never hedged, and is not retried once an attempt may have run.
  */
 import type { ReplicaRecord } from '../membership/replica-record.js';
 import { waitForRoom } from '../membership/wait-for-room.js';
@@ -11,7 +10,7 @@
 import { BackendAttempt } from './backend-attempt.js';
 import type { ShardView } from './layout-view.js';
 import type { QueryContext } from './query-context.js';
-import type { QueryTry } from './query-try.js';
+import type { ExecutionContext } from './execution-context.js';
 import type { RouterContext } from './router-context.js';
 import { ShardCandidates } from './shard-candidates.js';
 import type { ShardOutcome } from './shard-outcome.js';
@@ -21,9 +20,9 @@
   cancel(): void;
 }
 
-/** Runs one shard's part. */
+/** The attempts at one shard in one execution; {@link ShardExecution.run} may be called once. */
 export class ShardExecution {
-  /** Whether any attempt so far may have been run; kept after the end. */
+  /** Whether any attempt so far may have run; still updated after the execution has ended. */
   mayHaveRun = false;
   private attempts = 0;
   private readonly candidates: ShardCandidates;
@@ -32,56 +31,58 @@
   constructor(
     private readonly router: RouterContext,
     private readonly query: QueryContext,
-    private readonly queryTry: QueryTry,
+    private readonly execution: ExecutionContext,
     private readonly shard: ShardView,
   ) {
     this.candidates = new ShardCandidates(
       router.registry,
       query.service.policies.outlierEjection,
       shard,
-      queryTry.plan.snapshotText,
+      execution.plan.snapshotText,
     );
   }
 
-  /** Ends with the first verified answer, or when nothing more may be tried. Never throws. */
+  /** Resolves with the first verified answer, or when no further attempt is allowed. Never throws. */
   async run(): Promise<ShardOutcome> {
-    let outcome = await this.tryOnce('primary');
+    let outcome = await this.attemptOnce('primary');
     while (outcome.kind === 'failed') {
       const { reason } = outcome;
       const delay = this.mayRetry() ? this.retryDelay(reason) : undefined;
       if (delay === undefined) return { kind: 'missing', reason };
-      await this.router.environment.clock.sleep(delay, this.queryTry.ended).catch(() => undefined);
-      if (this.queryTry.ended.aborted) return { kind: 'missing', reason };
-      outcome = await this.tryOnce('retry');
+      await this.router.environment.clock
+        .sleep(delay, this.execution.endSignal)
+        .catch(() => undefined);
+      if (this.execution.endSignal.aborted) return { kind: 'missing', reason };
+      outcome = await this.attemptOnce('retry');
     }
     return outcome;
   }
 
-  /** Whether a replica of the shard could answer from another snapshot only. */
-  get isSnapshotLacking(): boolean {
-    return this.candidates.isSnapshotLacking;
+  /** Whether a replica that may receive attempts lacks the plan's snapshot. */
+  get hasReplicaWithoutSnapshot(): boolean {
+    return this.candidates.hasReplicaWithoutSnapshot;
   }
 
-  /** Cancels whatever is in flight. */
+  /** Cancels the attempts in flight. */
   cancel(): void {
     for (const controller of this.running) controller.abort();
   }
 
-  /** Launches at a replica with a free connection, waiting for one until the query ends. */
-  private async tryOnce(kind: AttemptKind): Promise<AttemptOutcome> {
+  /** Sends an attempt to a replica with a free connection; waits for one until the execution ends. */
+  private async attemptOnce(kind: AttemptKind): Promise<AttemptOutcome> {
     for (;;) {
       const preferred = this.candidates.preferred();
-      if (preferred.length === 0) return failedAttempt(this.candidates.whyNone(), false);
-      // No await between the choice and the launch, so that two tasks never take one connection.
+      if (preferred.length === 0) return failedAttempt(this.candidates.missingReason(), false);
+      // No await between selection and launch, so that two tasks never take the same connection.
       const record = this.select(preferred.filter((each) => each.hasRoom));
       if (record !== undefined) return this.launchWithHedge(kind, record);
-      await waitForRoom(preferred, this.queryTry.ended);
-      if (this.queryTry.ended.aborted) return failedAttempt('not_waited_for', false);
+      await waitForRoom(preferred, this.execution.endSignal);
+      if (this.execution.endSignal.aborted) return failedAttempt('not_waited_for', false);
     }
   }
 
   private async launchWithHedge(kind: AttemptKind, record: ReplicaRecord): Promise<AttemptOutcome> {
-    if (kind === 'primary') this.earnBudgets();
+    if (kind === 'primary') this.recordPrimary();
     const first = this.launch(kind, record);
     const delay = this.hedgeDelay();
     if (delay === undefined) return first.outcome;
@@ -98,29 +99,29 @@
 
   private launch(kind: AttemptKind, record: ReplicaRecord): RunningAttempt {
     this.attempts += 1;
-    this.queryTry.tally.add(kind);
+    this.execution.tally.add(kind);
     this.candidates.markTried(record);
     const { metrics, faults } = this.router;
     metrics.attempts.inc({ service: this.query.service.definition.name, kind });
-    const pinned = this.queryTry.plan.snapshotText;
-    const snapshot = faults.mergeAcrossSnapshots ? newestHeld(record, pinned) : pinned;
+    const pinned = this.execution.plan.snapshotText;
+    const snapshot = faults.mergeAcrossSnapshots ? newestHeldSnapshot(record, pinned) : pinned;
     const target = { record, shardId: this.shard.shardId, snapshot };
     const controller = new AbortController();
     this.running.add(controller);
-    const attempt = new BackendAttempt(this.router, this.query, target, this.queryTry.replies);
+    const attempt = new BackendAttempt(this.router, this.query, target, this.execution.replyMemory);
     const outcome = attempt.run(controller.signal).then((result) => {
       this.running.delete(controller);
-      this.note(result);
+      this.recordOutcome(result);
       return result;
     });
     return { outcome, cancel: () => controller.abort() };
   }
 
-  private note(outcome: AttemptOutcome): void {
+  private recordOutcome(outcome: AttemptOutcome): void {
     if (outcome.kind === 'answered' || outcome.mayHaveRun) this.mayHaveRun = true;
   }
 
-  private earnBudgets(): void {
+  private recordPrimary(): void {
     const { hedge, retry } = this.query.service.policies;
     hedge.recordFirstAttempt(this.shard.shardId);
     retry.recordFirstAttempt();
@@ -134,8 +135,8 @@
   }
 
   private launchHedge(): RunningAttempt | undefined {
-    if (this.queryTry.ended.aborted) return undefined;
-    const record = this.select(this.candidates.siblings());
+    if (this.execution.endSignal.aborted) return undefined;
+    const record = this.select(this.candidates.hedgeCandidates());
     if (record === undefined) return undefined;
     if (!this.query.service.policies.hedge.tryTakeBudget()) return undefined;
     return this.launch('hedge', record);
@@ -155,7 +156,7 @@
     });
   }
 
-  /** The first answer of two attempts, the other cancelled; the later failure when both fail. */
+  /** The first answer of two attempts, after cancelling the other; the later failure when both fail. */
   private async firstAnswered(
     first: RunningAttempt,
     second: RunningAttempt,
@@ -169,9 +170,9 @@
     return outcome;
   }
 
-  /** Whether anything but the retry policy stands against another attempt. */
+  /** Whether another attempt is allowed, before the retry policy decides. */
   private mayRetry(): boolean {
-    if (this.queryTry.ended.aborted || this.candidates.holders().length === 0) return false;
+    if (this.execution.endSignal.aborted || this.candidates.holders().length === 0) return false;
     if (this.attempts >= this.query.service.settings.maximumAttemptsPerShard) return false;
     return this.treatAsRepeatable || !this.mayHaveRun;
   }
@@ -181,9 +182,9 @@
   }
 
   /**
-   * When to try again; undefined for never. A replica that lacks the snapshot
-   * spent nothing on the request and drops out of the candidates, so the next
-   * one is asked at once and no budget is charged.
+   * Delay before the retry, or undefined for no retry. Milliseconds. A replica that lacks
+   * the snapshot did no work and is no longer a candidate, so the next replica is tried at
+   * once and no retry budget is charged.
    */
   private retryDelay(reason: MissingReason): number | undefined {
     if (reason === 'snapshot_not_held') return 0;
@@ -198,7 +199,7 @@
   }
 }
 
-/** The last of the replica's snapshots, `otherwise` when it holds none. */
-function newestHeld(record: ReplicaRecord, otherwise: string): string {
-  return [...record.heldSnapshots()].at(-1) ?? otherwise;
+/** The last of the replica's snapshots, or `fallback` when it holds none. */
+function newestHeldSnapshot(record: ReplicaRecord, fallback: string): string {
+  return [...record.heldSnapshots()].at(-1) ?? fallback;
 }
--- a/test/router/at-most-once.test.ts
+++ b/test/router/at-most-once.test.ts
@@ -3,7 +3,7 @@
 import type { FakeBackend } from './support/fake-backend.js';
 import { RouterHarness } from './support/router-harness.js';
 
-const ONCE = { repeatable: false };
+const NOT_REPEATABLE = { repeatable: false };
 
 function loseReplies(backend: FakeBackend): void {
   backend.tamper = (draft) => {
@@ -21,28 +21,28 @@
   return harness.attempts.filter(({ started }) => started).length;
 }
 
-async function startLosing(faults = {}): Promise<RouterHarness> {
+async function startLosingReplies(faults = {}): Promise<RouterHarness> {
   const harness = await RouterHarness.start({ shards: 1, faults });
   for (const backend of harness.backends.values()) loseReplies(backend);
   return harness;
 }
 
-describe('a not repeatable request', () => {
-  it('is not sent again once it may have been run', async () => {
-    const harness = await startLosing();
-    const { status, error } = await harness.query(ONCE);
+describe('a request that is not repeatable', () => {
+  it('is not sent again once it may have run', async () => {
+    const harness = await startLosingReplies();
+    const { status, error } = await harness.query(NOT_REPEATABLE);
     expect(status).toBe(504);
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is seen to be run twice when it is treated as repeatable', async () => {
-    const harness = await startLosing({ retryNotRepeatable: true });
-    await harness.query(ONCE);
+  it('runs more than once under the fault that treats it as repeatable', async () => {
+    const harness = await startLosingReplies({ retryNotRepeatable: true });
+    await harness.query(NOT_REPEATABLE);
     expect(startedCount(harness)).toBeGreaterThan(1);
   });
 
-  it('is not sent again when a retry after a rejection may have been run', async () => {
+  it('is not sent again when a retry after a rejection may have run', async () => {
     const harness = await RouterHarness.start({
       shards: 1,
       settings: { maximumAttemptsPerShard: 5 },
@@ -53,91 +53,94 @@
         else draft.error = new HttpClientError('connection_lost', true, backend.address);
       };
     }
-    expect((await harness.query(ONCE)).error.code).toBe('outcome_unknown');
+    expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('outcome_unknown');
     expect(harness.attempts).toHaveLength(2);
   });
 
-  it('is sent to a sibling after a rejection and after a refused connection', async () => {
+  it('is sent to another replica after a rejection and after a refused connection', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 3 });
     shed(harness.backend('s0-r0'));
     harness.backend('s0-r1').down = true;
     for (const number of [1, 2, 3, 4]) {
-      const { status } = await harness.query({ ...ONCE, requestId: `request-${number}` });
+      const { status } = await harness.query({ ...NOT_REPEATABLE, requestId: `request-${number}` });
       expect(status).toBe(200);
     }
     expect(startedCount(harness)).toBe(4);
   });
 
-  it('gets a connection that has carried nothing before', async () => {
+  it('is sent on a connection that has carried no earlier request', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
-    await harness.query(ONCE);
+    await harness.query(NOT_REPEATABLE);
     await harness.query({ requestId: 'request-2' });
-    expect(harness.backend('s0-r0').ledger.map(({ fresh }) => fresh)).toEqual([true, false]);
+    expect(harness.backend('s0-r0').attempts.map(({ fresh }) => fresh)).toEqual([true, false]);
   });
 });
 
-describe('a resend of a not repeatable request', () => {
-  it('joins the first while it runs, and gets its outcome afterwards', async () => {
+describe('a resend of a request that is not repeatable', () => {
+  it('gets the outcome of the first request, both while it runs and after it has ended', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
-    const both = [harness.send(ONCE), harness.send({ ...ONCE, deadlineMs: 500 })] as const;
+    const both = [
+      harness.send(NOT_REPEATABLE),
+      harness.send({ ...NOT_REPEATABLE, deadlineMs: 500 }),
+    ] as const;
     const [first, second] = await harness.clock.runUntil(Promise.all(both));
     expect(second.answer).toEqual(first.answer);
-    expect((await harness.query(ONCE)).answer).toEqual(first.answer);
+    expect((await harness.query(NOT_REPEATABLE)).answer).toEqual(first.answer);
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is answered before its own deadline when the first takes longer', async () => {
+  it('is answered before its own deadline when the first request takes longer', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     for (const backend of harness.backends.values()) backend.latency = 800;
-    const first = harness.send(ONCE);
+    const first = harness.send(NOT_REPEATABLE);
     const before = harness.clock.now();
-    const resend = await harness.query({ ...ONCE, deadlineMs: 100 });
+    const resend = await harness.query({ ...NOT_REPEATABLE, deadlineMs: 100 });
     expect(harness.clock.now() - before).toBeLessThan(100);
     expect(resend.error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
     const { answer } = await harness.clock.runUntil(first);
-    expect((await harness.query(ONCE)).answer).toEqual(answer);
+    expect((await harness.query(NOT_REPEATABLE)).answer).toEqual(answer);
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('learns the outcome of a first try whose caller went away', async () => {
+  it('gets the outcome of a first request whose caller disconnected', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const gone = new AbortController();
-    const first = harness.send(ONCE, gone.signal);
+    const first = harness.send(NOT_REPEATABLE, gone.signal);
     gone.abort();
     await harness.clock.runUntil(first);
-    expect((await harness.query(ONCE)).status).toBe(200);
+    expect((await harness.query(NOT_REPEATABLE)).status).toBe(200);
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('gets an unknown outcome again, without being run', async () => {
-    const harness = await startLosing();
-    await harness.query(ONCE);
-    expect((await harness.query(ONCE)).error.code).toBe('outcome_unknown');
+  it('gets an unknown outcome again and does not run', async () => {
+    const harness = await startLosingReplies();
+    await harness.query(NOT_REPEATABLE);
+    expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('outcome_unknown');
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is not run when its outcome is no longer kept', async () => {
+  it('does not run when the outcome is no longer stored', async () => {
     const limits = { maximumRecordedOutcomes: 1 };
     const harness = await RouterHarness.start({ shards: 1, limits });
-    await harness.query(ONCE);
-    await harness.query({ ...ONCE, requestId: 'request-2' });
-    const { error } = await harness.query(ONCE);
+    await harness.query(NOT_REPEATABLE);
+    await harness.query({ ...NOT_REPEATABLE, requestId: 'request-2' });
+    const { error } = await harness.query(NOT_REPEATABLE);
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
     expect(startedCount(harness)).toBe(2);
   });
 
-  it('is run when the first was refused as not run', async () => {
+  it('runs when the first request was refused as not run', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     harness.backend('s0-r0').down = true;
-    expect((await harness.query(ONCE)).error.code).toBe('refused_not_run');
+    expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('refused_not_run');
     harness.backend('s0-r0').down = false;
-    expect((await harness.query(ONCE)).status).toBe(200);
+    expect((await harness.query(NOT_REPEATABLE)).status).toBe(200);
   });
 
-  it('with another body is a bad request', async () => {
+  it('is a bad request when its body differs from the first', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
-    await harness.query(ONCE);
-    for (const other of [{ ...ONCE, query: 'other' }, { repeatable: true }]) {
+    await harness.query(NOT_REPEATABLE);
+    for (const other of [{ ...NOT_REPEATABLE, query: 'other' }, { repeatable: true }]) {
       const { status, error } = await harness.query(other);
       expect(status).toBe(400);
       expect(error).toMatchObject({ code: 'bad_request', path: 'requestId' });
@@ -145,10 +148,10 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('marked as one is not run by a router that does not know the first', async () => {
+  it('marked as a resend does not run on a router that does not know the first request', async () => {
     const [harness, other] = [await RouterHarness.start(), await RouterHarness.start()];
-    const { answer } = await harness.query(ONCE);
-    const resend = { ...ONCE, resend: true };
+    const { answer } = await harness.query(NOT_REPEATABLE);
+    const resend = { ...NOT_REPEATABLE, resend: true };
     const { status, error } = await other.query(resend);
     expect(status).toBe(504);
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
@@ -157,22 +160,22 @@
     expect((await other.query({ repeatable: true, resend: true })).status).toBe(200);
   });
 
-  it('is refused, not run, when no further id can be remembered', async () => {
+  it('is refused and does not run when no further request id can be stored', async () => {
     const limits = { maximumRecordedOutcomes: 1 };
     const harness = await RouterHarness.start({ shards: 1, limits });
     for (let number = 1; number <= 10; number += 1) {
-      await harness.query({ ...ONCE, requestId: `request-${number}` });
+      await harness.query({ ...NOT_REPEATABLE, requestId: `request-${number}` });
     }
-    const { error, headers } = await harness.query({ ...ONCE, requestId: 'request-11' });
+    const { error, headers } = await harness.query({ ...NOT_REPEATABLE, requestId: 'request-11' });
     expect(error.code).toBe('refused_not_run');
     expect(Number(headers['retry-after'])).toBeGreaterThan(3_000);
     await harness.clock.advance(3_600_000);
-    expect((await harness.query({ ...ONCE, requestId: 'request-11' })).status).toBe(200);
+    expect((await harness.query({ ...NOT_REPEATABLE, requestId: 'request-11' })).status).toBe(200);
   });
 });
 
-describe('"not run"', () => {
-  it('is said when every attempt was rejected or never sent', async () => {
+describe('the error for a request that did not run', () => {
+  it('is returned when every attempt was rejected or never sent', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const backend of harness.backends.values()) shed(backend);
     harness.backend('s1-r0').down = true;
@@ -183,7 +186,7 @@
     expect(startedCount(harness)).toBe(0);
   });
 
-  it('is not said when one attempt of any shard may have been run', async () => {
+  it('is not returned when one attempt at any shard may have run', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const backend of harness.backends.values()) shed(backend);
     for (const replica of ['s1-r0', 's1-r1']) loseReplies(harness.backend(replica));
@@ -191,7 +194,7 @@
     expect(error).toMatchObject({ code: 'insufficient_coverage', mayHaveRun: true });
   });
 
-  it('is not said of attempts cancelled in flight', async () => {
+  it('is not returned when attempts were cancelled in flight', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const replica of ['s0-r0', 's0-r1']) harness.backend(replica).latency = Infinity;
     for (const replica of ['s1-r0', 's1-r1']) harness.backend(replica).down = true;
@@ -200,8 +203,8 @@
     expect(startedCount(harness)).toBe(1);
   });
 
-  it('is seen to be false when it is claimed after sending', async () => {
-    const harness = await startLosing({ claimNotRunAfterSending: true });
+  it('is returned, under the fault that claims it after sending, although attempts started', async () => {
+    const harness = await startLosingReplies({ claimNotRunAfterSending: true });
     expect((await harness.query()).error.code).toBe('refused_not_run');
     expect(startedCount(harness)).toBeGreaterThan(0);
   });
--- a/test/router/deadlines.test.ts
+++ b/test/router/deadlines.test.ts
@@ -2,21 +2,21 @@
 import { RouterHarness } from './support/router-harness.js';
 
 describe('deadlines', () => {
-  it('reach the back ends as the time left', async () => {
+  it('reach the back ends as the remaining time', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     harness.backend('s0-r0').tamper = (draft, entry) => {
-      if (harness.backend('s0-r0').ledger[0] !== entry) return;
+      if (harness.backend('s0-r0').attempts[0] !== entry) return;
       draft.latency = 50;
       draft.disposition = 'not_started';
     };
     await harness.query({ deadlineMs: 200 });
-    const [first, second] = harness.backend('s0-r0').ledger;
+    const [first, second] = harness.backend('s0-r0').attempts;
     expect(first?.deadlineMs).toBe(195);
     expect(second?.deadlineMs).toBeGreaterThan(0);
     expect(second?.deadlineMs).toBeLessThanOrEqual(145);
   });
 
-  it('end a query before the moment the answer is of no more use, and cancel the rest', async () => {
+  it('end a query before the deadline has passed, and cancel the remaining attempts', async () => {
     const harness = await RouterHarness.start({ shards: 2, settings: { requiredCoverage: 0.5 } });
     for (const replica of ['s1-r0', 's1-r1']) harness.backend(replica).latency = Infinity;
     const sentAt = harness.clock.now();
@@ -24,20 +24,20 @@
     expect(harness.clock.now() - sentAt).toBeLessThan(300);
     expect(status).toBe(200);
     expect(answer.coverage.missing).toEqual([{ shardId: 'shard-1', reason: 'deadline' }]);
-    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).ledger);
+    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).attempts);
     expect(stuck.map(({ cancelled }) => cancelled)).toEqual([true]);
   });
 
-  it('are cut to the longest the service allows, and default to its own', async () => {
+  it('are limited to the maximum of the service, and default to its default', async () => {
     const settings = { maximumDeadlineMs: 400, defaultDeadlineMs: 100 };
     const harness = await RouterHarness.start({ shards: 1, replicas: 1, settings });
     await harness.query({ deadlineMs: 600_000 });
     await harness.query();
-    const deadlines = harness.backend('s0-r0').ledger.map(({ deadlineMs }) => deadlineMs);
+    const deadlines = harness.backend('s0-r0').attempts.map(({ deadlineMs }) => deadlineMs);
     expect(deadlines).toEqual([395, 95]);
   });
 
-  it('that passed before anything could be sent are refused as not run', async () => {
+  it('that pass before any attempt is sent end a query as refused and not run', async () => {
     const harness = await RouterHarness.start({
       shards: 1,
       replicas: 1,
@@ -54,8 +54,8 @@
   });
 });
 
-describe('a query that cannot succeed any more', () => {
-  it('is answered at once, with when to come back', async () => {
+describe('a query that can no longer succeed', () => {
+  it('is answered at once, with a retry time', async () => {
     const harness = await RouterHarness.start({ shards: 3 });
     for (const replica of ['s0-r0', 's0-r1']) harness.backend(replica).down = true;
     for (const replica of ['s1-r0', 's1-r1']) harness.backend(replica).latency = Infinity;
@@ -64,11 +64,11 @@
     expect(status).toBe(503);
     expect(headers['retry-after']).toBe('1');
     expect(harness.clock.now() - sentAt).toBeLessThan(100);
-    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).ledger);
+    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).attempts);
     expect(stuck.every(({ cancelled }) => cancelled)).toBe(true);
   });
 
-  it('fails with a clear error once the answer grows too large', async () => {
+  it('fails with an error that names the setting once the answer is too large', async () => {
     const settings = { maximumAnswerBytes: 1_024 };
     const harness = await RouterHarness.start({ shards: 2, settings });
     for (const backend of harness.backends.values()) {
@@ -84,7 +84,7 @@
 describe('replies that arrive slowly', () => {
   const settings = { maximumAnswerBytes: 1_024 };
 
-  it('hold no more memory than two answers, and end the query once they would', async () => {
+  it('take no more memory than two answers, and end the query once they would', async () => {
     const harness = await RouterHarness.start({ shards: 8, settings });
     for (const backend of harness.backends.values()) {
       backend.latency = Infinity;
@@ -98,7 +98,7 @@
     expect(harness.attempts.length).toBeLessThan(8);
   });
 
-  it('give their memory back when they fail', async () => {
+  it('release their memory when they fail', async () => {
     const harness = await RouterHarness.start({
       shards: 1,
       replicas: 1,
@@ -107,15 +107,15 @@
     const backend = harness.backend('s0-r0');
     backend.bytesAtOnce = 900;
     backend.tamper = (draft) => {
-      if (backend.ledger.length < 6) draft.disposition = 'failed';
+      if (backend.attempts.length < 6) draft.disposition = 'failed';
     };
     const { status } = await harness.query();
     expect(status).toBe(200);
-    expect(backend.ledger).toHaveLength(6);
+    expect(backend.attempts).toHaveLength(6);
   });
 });
 
-describe('a caller that is gone', () => {
+describe('a caller that disconnects', () => {
   it('has its attempts cancelled', async () => {
     const harness = await RouterHarness.start({ shards: 2 });
     for (const backend of harness.backends.values()) backend.latency = Infinity;
@@ -126,14 +126,14 @@
     gone.abort();
     await harness.clock.runUntil(query);
     expect(harness.clock.now()).toBe(before);
-    const ledger = [...harness.backends.values()].flatMap((backend) => backend.ledger);
-    expect(ledger).toHaveLength(2);
-    expect(ledger.every(({ cancelled }) => cancelled)).toBe(true);
+    const attempts = [...harness.backends.values()].flatMap((backend) => backend.attempts);
+    expect(attempts).toHaveLength(2);
+    expect(attempts.every(({ cancelled }) => cancelled)).toBe(true);
   });
 });
 
-describe('connections of one replica', () => {
-  it('are not exceeded; further attempts wait for one', async () => {
+describe('the connections of one replica', () => {
+  it('are not exceeded; further attempts wait for a free connection', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1, connections: 16 });
     const backend = harness.backend('s0-r0');
     backend.latency = 10;
@@ -141,7 +141,7 @@
       harness.send({ requestId: `request-${index}` }),
     );
     await harness.clock.advance(5);
-    expect(backend.ledger).toHaveLength(1);
+    expect(backend.attempts).toHaveLength(1);
     const replies = await harness.clock.runUntil(Promise.all(queries));
     expect(replies.map(({ status }) => status)).toEqual(Array<number>(6).fill(200));
   });
--- a/test/router/shard-execution.test.ts
+++ b/test/router/shard-execution.test.ts
@@ -22,21 +22,21 @@
 import { createLayout, createState, SERVICE } from './support/router-harness.js';
 import { VirtualClock } from './support/virtual-clock.js';
 
-const HEDGE_DELAY = 20;
-/** Node warns of more than ten listeners on one signal unless told of them. */
+const HEDGE_DELAY_MS = 20;
+/** Node warns about more than ten listeners on one signal unless the limit is raised. */
 const SHARDS_BEYOND_DEFAULT_LISTENERS = 12;
 
-/** One execution over fake back ends, with policies that a test writes itself. */
-class Bench {
+/** One query execution over fake back ends, with hedge and completion policies set by the test. */
+class ExecutionHarness {
   readonly clock = new VirtualClock();
   readonly tally = new AttemptTally();
   readonly backends: FakeBackend[] = [];
   hedgesLeft = 1;
-  /** Milliseconds to wait once coverage suffices. */
+  /** Further wait once coverage suffices. Milliseconds. */
   furtherWait = Infinity;
-  /** What the completion policy was told. Milliseconds. */
-  readonly replies: number[] = [];
-  readonly unfinished: number[] = [];
+  /** Times that the completion policy recorded for replies and for unfinished shards. Milliseconds. */
+  readonly recordedReplies: number[] = [];
+  readonly recordedUnfinished: number[] = [];
   readonly registry: ReplicaRegistry;
   private readonly router: RouterContext;
   private readonly service: ServiceRuntime;
@@ -63,7 +63,7 @@
     this.router = { environment, registry, identifiers, metrics, faults };
     const settings = { ...DEFAULT_SERVICE_SETTINGS, requiredCoverage };
     const definition = createState(1, options).services[SERVICE];
-    if (definition === undefined) throw new Error('no service');
+    if (definition === undefined) throw new Error('the state has no service');
     this.service = new ServiceRuntime(1, definition, settings, this.policies(), registry);
   }
 
@@ -83,7 +83,7 @@
     };
     const request = { requiredCoverage, key: undefined, excluded: new Set<string>() };
     const plan = this.service.planner.plan(request);
-    if (plan === undefined) throw new Error('no plan');
+    if (plan === undefined) throw new Error('the planner found no plan');
     const execution = new QueryExecution(this.router, query, plan, this.tally);
     return this.clock.runUntil(execution.run(new AbortController().signal));
   }
@@ -98,56 +98,56 @@
         recordFirstAttempt: () => undefined,
         recordLatency: () => undefined,
         recordUnfinished: () => undefined,
-        hedgeDelay: () => HEDGE_DELAY,
+        hedgeDelay: () => HEDGE_DELAY_MS,
         tryTakeBudget: () => (this.hedgesLeft -= 1) >= 0,
       },
       completion: {
-        recordReply: (sinceAsked) => this.replies.push(sinceAsked),
-        recordUnfinished: (sinceAsked) => this.unfinished.push(sinceAsked),
+        recordReply: (sinceAsked) => this.recordedReplies.push(sinceAsked),
+        recordUnfinished: (sinceAsked) => this.recordedUnfinished.push(sinceAsked),
         furtherWait: () => this.furtherWait,
       },
     };
   }
 }
 
-function ledgerSizes(bench: Bench): number[] {
-  return bench.backends.map(({ ledger }) => ledger.length);
+function attemptCounts(harness: ExecutionHarness): number[] {
+  return harness.backends.map(({ attempts }) => attempts.length);
 }
 
-function firstBackend(bench: Bench): FakeBackend {
-  const [first] = bench.backends;
-  if (first === undefined) throw new Error('no back end');
+function firstBackend(harness: ExecutionHarness): FakeBackend {
+  const [first] = harness.backends;
+  if (first === undefined) throw new Error('the harness has no back end');
   return first;
 }
 
 describe('a hedge', () => {
-  it('goes to a sibling after the delay; the loser is cancelled at once', async () => {
-    const bench = new Bench(2);
-    firstBackend(bench).latency = Infinity;
-    for (const backend of bench.backends.slice(2)) backend.latency = 100;
-    const { sufficient } = await bench.run();
+  it('goes to another replica after the delay, and its reply cancels the first attempt at once', async () => {
+    const harness = new ExecutionHarness(2);
+    firstBackend(harness).latency = Infinity;
+    for (const backend of harness.backends.slice(2)) backend.latency = 100;
+    const { sufficient } = await harness.run();
     expect(sufficient).toBe(true);
-    expect(bench.tally).toMatchObject({ primary: 2, hedges: 1, retries: 0 });
-    expect(ledgerSizes(bench)).toEqual([1, 1, 1, 0]);
-    expect(bench.backends[1]?.ledger[0]?.at).toBe(50 + HEDGE_DELAY);
-    expect(firstBackend(bench).ledger[0]?.cancelledAt).toBe(50 + HEDGE_DELAY + 1);
+    expect(harness.tally).toMatchObject({ primary: 2, hedges: 1, retries: 0 });
+    expect(attemptCounts(harness)).toEqual([1, 1, 1, 0]);
+    expect(harness.backends[1]?.attempts[0]?.at).toBe(50 + HEDGE_DELAY_MS);
+    expect(firstBackend(harness).attempts[0]?.cancelledAt).toBe(50 + HEDGE_DELAY_MS + 1);
   });
 
-  it('leaves the loser known to take at least as long as it was waited for', async () => {
-    const bench = new Bench(1);
-    const slow = firstBackend(bench);
+  it('makes the elapsed time of the cancelled attempt the latency estimate of its replica', async () => {
+    const harness = new ExecutionHarness(1);
+    const slow = firstBackend(harness);
     slow.latency = Infinity;
-    await bench.run();
-    const record = bench.registry.get(slow.replicaId);
-    expect(record?.smoothedLatency).toBe(HEDGE_DELAY + 1);
+    await harness.run();
+    const record = harness.registry.get(slow.replicaId);
+    expect(record?.smoothedLatency).toBe(HEDGE_DELAY_MS + 1);
   });
 
-  it('is not sent when the first attempt is quick, or the budget is spent', async () => {
-    const quick = new Bench(1);
-    firstBackend(quick).latency = HEDGE_DELAY - 1;
+  it('is not sent when the first attempt is fast or the budget is spent', async () => {
+    const quick = new ExecutionHarness(1);
+    firstBackend(quick).latency = HEDGE_DELAY_MS - 1;
     await quick.run();
     expect(quick.tally.hedges).toBe(0);
-    const poor = new Bench(1);
+    const poor = new ExecutionHarness(1);
     poor.hedgesLeft = 0;
     firstBackend(poor).latency = 100;
     await poor.run();
@@ -155,50 +155,50 @@
   });
 
   it('is never sent for a request that is not repeatable', async () => {
-    const bench = new Bench(1);
-    firstBackend(bench).latency = 100;
-    await bench.run(false);
-    expect(ledgerSizes(bench)).toEqual([1, 0]);
+    const harness = new ExecutionHarness(1);
+    firstBackend(harness).latency = 100;
+    await harness.run(false);
+    expect(attemptCounts(harness)).toEqual([1, 0]);
   });
 
-  it('that fails leaves the first attempt its chance', async () => {
-    const bench = new Bench(1);
-    firstBackend(bench).latency = 100;
-    const [, second] = bench.backends;
+  it('does not end the first attempt when the hedge fails', async () => {
+    const harness = new ExecutionHarness(1);
+    firstBackend(harness).latency = 100;
+    const [, second] = harness.backends;
     if (second !== undefined) second.down = true;
-    expect((await bench.run()).sufficient).toBe(true);
-    expect(bench.tally).toMatchObject({ primary: 1, hedges: 1, retries: 0 });
+    expect((await harness.run()).sufficient).toBe(true);
+    expect(harness.tally).toMatchObject({ primary: 1, hedges: 1, retries: 0 });
   });
 });
 
 describe('the completion policy', () => {
-  it('ends the wait for the rest once coverage suffices', async () => {
-    const bench = new Bench(2, 0.5);
-    bench.hedgesLeft = 0;
-    bench.furtherWait = 30;
-    const { latency } = firstBackend(bench);
-    firstBackend(bench).latency = Infinity;
-    const { coverage, ending } = await bench.run();
-    expect(ending).toBe('sufficient');
-    expect(bench.clock.now()).toBe(50 + latency + bench.furtherWait);
+  it('ends the wait for the remaining shards once coverage suffices', async () => {
+    const harness = new ExecutionHarness(2, 0.5);
+    harness.hedgesLeft = 0;
+    harness.furtherWait = 30;
+    const { latency } = firstBackend(harness);
+    firstBackend(harness).latency = Infinity;
+    const { coverage, endReason } = await harness.run();
+    expect(endReason).toBe('sufficient');
+    expect(harness.clock.now()).toBe(50 + latency + harness.furtherWait);
     expect(coverage.missing).toEqual([{ shardId: 'shard-0', reason: 'not_waited_for' }]);
-    expect(bench.replies).toEqual([latency]);
-    expect(bench.unfinished).toEqual([latency + bench.furtherWait]);
-    expect(firstBackend(bench).ledger[0]?.cancelled).toBe(true);
+    expect(harness.recordedReplies).toEqual([latency]);
+    expect(harness.recordedUnfinished).toEqual([latency + harness.furtherWait]);
+    expect(firstBackend(harness).attempts[0]?.cancelled).toBe(true);
   });
 });
 
 describe('a query of many shards', () => {
-  it('waits for connections without a warning of the runtime', async () => {
+  it('waits for connections without a warning from the runtime', async () => {
     const warnings: string[] = [];
     const onWarning = ({ name }: Error): void => void warnings.push(name);
     process.on('warning', onWarning);
-    const bench = new Bench(SHARDS_BEYOND_DEFAULT_LISTENERS);
-    for (const { replicaId } of bench.backends) {
-      const record = bench.registry.get(replicaId);
+    const harness = new ExecutionHarness(SHARDS_BEYOND_DEFAULT_LISTENERS);
+    for (const { replicaId } of harness.backends) {
+      const record = harness.registry.get(replicaId);
       while (record?.hasRoom === true) record.beginAttempt();
     }
-    expect((await bench.run()).ending).toBe('deadline');
+    expect((await harness.run()).endReason).toBe('deadline');
     await new Promise((resolve) => setImmediate(resolve));
     process.off('warning', onWarning);
     expect(warnings).toEqual([]);
--- a/test/router/support/fixed-source.ts
+++ b/test/router/support/fake-configuration-source.ts
@@ -1,4 +1,4 @@
-/** A configuration source that a test drives by hand. */
+/** A configuration source whose revisions, signs and freshness a test sets. */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
 import type { ReplicaSign } from '../../../src/model/replica-sign.js';
@@ -8,11 +8,11 @@
 } from '../../../src/settings/configuration-source.js';
 import type { ConfigurationState } from '../../../src/settings/configuration-state.js';
 
-export class FixedSource implements ConfigurationSource {
+export class FakeConfigurationSource implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
   readonly replicaSigns: Stream<ReplicaSign>;
   readonly publish: (state: ConfigurationState) => void;
-  readonly tellSign: (sign: ReplicaSign) => void;
+  readonly publishSign: (sign: ReplicaSign) => void;
   readonly reported: ReplicaSign[] = [];
   fresh = true;
 
@@ -23,7 +23,7 @@
       this.state = next;
       publish(next);
     };
-    [this.tellSign, this.replicaSigns] = createAdapter<ReplicaSign>();
+    [this.publishSign, this.replicaSigns] = createAdapter<ReplicaSign>();
   }
 
   current(): ConfigurationState | undefined {
