--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -248,7 +248,7 @@
 
   /** Waits until the gateways that follow this controller hold what it knows now. */
   private relay(): Promise<boolean> {
-    return this.server.waitConfirmed(
+    return this.server.waitForConfirmations(
       this.directory.position,
       RELAY_TIMEOUT_MS,
       ({ gatewaysMissing }) => gatewaysMissing === 0,
@@ -281,9 +281,9 @@
     const { clock } = this.options.environment;
     const stopped = this.stopped.signal;
     while (!stopped.aborted) {
-      this.client.useMembers(this.memberAddresses());
+      this.client.setMembers(this.memberAddresses());
       this.directory.forgetSilent();
-      this.routeLag.look();
+      this.routeLag.check();
       await clock.sleep(UPKEEP_INTERVAL_MS, stopped).catch(() => undefined);
     }
   }
--- a/src/gateway/attempt-evidence.ts
+++ b/src/gateway/attempt-evidence.ts
@@ -2,7 +2,7 @@
  * What the end of an attempt says of the request: whether it may be what ends the replicas
  * that run it.
  */
-import { lifeIdOf } from '../directory/replica-entry.js';
+import { incarnationIdOf } from '../directory/replica-entry.js';
 import { HttpClientError } from '../errors/http-client-error.js';
 import { describeRequest } from '../quarantine/quarantine-entry.js';
 import { TrialResult } from '../quarantine/quarantine-metrics.js';
@@ -34,7 +34,7 @@
 export function noteEvidence(context: GatewayContext, attempt: EndedAttempt): void {
   const { crashGuard, environment, targets } = context;
   const { request, target, result, isTrial } = attempt;
-  const replicaId = lifeIdOf(target.entry);
+  const replicaId = incarnationIdOf(target.entry);
   // One that has said that it leaves ends on purpose.
   if (isConnectionLost(result) && targets.isRegistered(target)) {
     crashGuard.noteReplicaLost(replicaId);
@@ -65,7 +65,7 @@
   // Its supervisor may have started it again already, as another replica at the same address.
   const hasEnded = isRefusing || target.successor !== undefined;
   const hasLeft = !targets.isRegistered(target);
-  if (!hasLeft) crashGuard.noteEnded(watched(request), lifeIdOf(target.entry), hasEnded);
+  if (!hasLeft) crashGuard.noteEnded(watched(request), incarnationIdOf(target.entry), hasEnded);
   const result = hasEnded ? TrialResult.ReplicaEnded : TrialResult.Undecided;
   crashGuard.endTrial(request.fingerprint, result);
 }
--- a/src/gateway/service-targets.ts
+++ b/src/gateway/service-targets.ts
@@ -5,7 +5,7 @@
  */
 import { observe } from '../control-stream/observe.js';
 import type { ReplicaDirectory } from '../directory/replica-directory.js';
-import { RegisteredState, lifeIdOf, type ReplicaEntry } from '../directory/replica-entry.js';
+import { RegisteredState, incarnationIdOf, type ReplicaEntry } from '../directory/replica-entry.js';
 import { parseAddress } from '../seams/address.js';
 import type { Environment } from '../seams/environment.js';
 import { ColdSendSlots } from './cold-send-slots.js';
@@ -26,7 +26,8 @@
 function isSameProcess(known: ReplicaEntry, entry: ReplicaEntry): boolean {
   const isSamePlace = known.address === entry.address && known.service === entry.service;
   // Until the start of a life is known, it is the one that is known.
-  const isSameLife = known.bornAt === undefined || lifeIdOf(known) === lifeIdOf(entry);
+  const isSameLife =
+    known.bornAt === undefined || incarnationIdOf(known) === incarnationIdOf(entry);
   return isSamePlace && isSameLife;
 }
 
--- a/test/control/other-writers.test.ts
+++ b/test/control/other-writers.test.ts
@@ -107,12 +107,12 @@
       warmupMs: 0,
     };
     for (let index = 0; index < 10; index += 1) {
-      directory.hear({ ...entry, replicaId: `i-${index}` });
+      directory.reportDirectly({ ...entry, replicaId: `i-${index}` });
     }
     expect([...directory.all()].map(({ replicaId }) => replicaId)).toEqual(['i-0', 'i-1', 'i-2']);
     const draining = { ...entry, sequence: 2, state: RegisteredState.Draining };
-    expect(directory.hear(draining)).toEqual({ isCurrent: true, isNews: true });
-    expect(directory.hear({ ...entry, replicaId: 'i-9' })).toEqual({
+    expect(directory.reportDirectly(draining)).toEqual({ isCurrent: true, isNews: true });
+    expect(directory.reportDirectly({ ...entry, replicaId: 'i-9' })).toEqual({
       isCurrent: false,
       isNews: false,
     });
--- a/test/directory/unreadable-frames.test.ts
+++ b/test/directory/unreadable-frames.test.ts
@@ -46,7 +46,7 @@
     traffic: new ZoneTraffic('a', registry),
     ...telemetry,
   });
-  client.useSeeds([`${address.host}:${address.port}`]);
+  client.setSeeds([`${address.host}:${address.port}`]);
   await simulation.runFor(1_000);
   expect(await countUnreadable(registry)).toBeGreaterThan(0);
   expect(client.openLinks).toBe(0);
