--- a/src/directory/controller-choice.ts
+++ b/src/directory/controller-choice.ts
@@ -1,37 +1,38 @@
 /**
- * Which controllers a gateway follows: one of its own zone first, whose stream
- * crosses no zone, then others, spread over the gateways. Further ones are
- * followed while those are not fresh.
+ * Chooses the controllers that a gateway follows. Controllers of the gateway's own zone come first,
+ * because their streams cross no zone boundary; the others are ranked by rendezvous hashing, which
+ * spreads them over the gateways. A gateway follows further controllers while the first ones are
+ * not fresh.
  */
 import { rankByRendezvousHash } from './leaf-gateway.js';
 
-/** A controller as subscribers know it. */
+/** A controller as known to subscribers. */
 export interface KnownController {
   /** `host:port` for internal messages. */
   readonly address: string;
-  /** Empty while it is not known. */
+  /** Empty while the zone is unknown. */
   readonly zone: string;
 }
 
-/** Who chooses. */
+/** The gateway that chooses, and how many controllers it wants. */
 export interface ControllerChoiceOptions {
   readonly ownName: string;
   readonly ownZone: string;
-  /** Controllers that are followed at once. */
+  /** Number of controllers to follow at once. */
   readonly count: number;
 }
 
-/** How a controller that may be followed does. */
+/** State of a controller from the point of view of a gateway that may follow it. */
 export enum FollowState {
-  /** It tells fresh news. */
+  /** The controller is followed and its status is recent. */
   Fresh = 'fresh',
-  /** It has been dialled a moment ago. */
+  /** The controller was dialled recently and has not become fresh yet. */
   Pending = 'pending',
-  /** It is silent, cut off from the group or about to stop, or is not followed. */
+  /** The controller is silent, partitioned from its group, about to stop, or not followed. */
   Unusable = 'unusable',
 }
 
-/** `controllers`, those that the gateway follows first in front. */
+/** Returns `controllers` in the order in which the gateway prefers to follow them. */
 export function rankControllers<T extends KnownController>(
   controllers: readonly T[],
   { ownName, ownZone }: Pick<ControllerChoiceOptions, 'ownName' | 'ownZone'>,
@@ -44,8 +45,9 @@
 }
 
 /**
- * Addresses to follow: the first ones until enough of them are fresh or were
- * just dialled. All while none is fresh: nothing can be lost by asking everybody.
+ * Returns the addresses to follow: controllers in order of preference until `count` of them are
+ * fresh or pending. Returns all addresses while no controller is fresh, since following every
+ * controller then costs nothing.
  */
 export function chooseControllers(
   controllers: readonly KnownController[],
--- a/src/directory/controller-roster.ts
+++ b/src/directory/controller-roster.ts
@@ -1,37 +1,36 @@
 /**
- * The controllers of the group as one of them knows them: their zones, which of them are
- * connected, and which of them a gateway gets its documents from.
+ * One controller's view of its group: the zones of the controllers, which of them are connected,
+ * and which of them sends route documents to each gateway.
  */
 import { rankControllers } from './controller-choice.js';
 import type { DirectoryController } from './directory-session.js';
 import type { KnownGateway } from './leaf-gateway.js';
 
-/** A member of the controllers' group. */
+/** A member of the controller group. */
 export interface DirectoryMember {
   readonly memberId: string;
   /** `host:port` for internal messages. */
   readonly address: string;
 }
 
-/** Where the roster looks. */
+/** What the roster reads its members and connections from. */
 export interface ControllerRosterSources {
   readonly ownName: string;
   readonly ownZone: string;
   readonly members: () => readonly DirectoryMember[];
-  /** Controllers whose streams to this one are open. */
+  /** Controllers with an open stream to this controller. */
   readonly connected: () => readonly KnownGateway[];
 }
 
-/** See the module comment. */
 export class ControllerRoster {
-  /** By name, also of those whose stream is lost at the moment. */
+  /** Zones by controller name, including controllers whose stream is currently lost. */
   private readonly zones = new Map<string, string>();
 
   constructor(private readonly sources: ControllerRosterSources) {
     this.zones.set(sources.ownName, sources.ownZone);
   }
 
-  /** The group's members, with the zones of those that follow this controller or did. */
+  /** Returns the members of the group; the zone is empty for members that have never connected. */
   all(): readonly DirectoryController[] {
     return this.sources.members().map(({ memberId, address }) => ({
       memberId,
@@ -40,7 +39,10 @@
     }));
   }
 
-  /** A controller has connected. Zones of those that are neither members nor connected are forgotten. */
+  /**
+   * Records the zone of a controller that has connected. Drops the zones of controllers that are
+   * neither members nor connected.
+   */
   noteConnected(controller: string, zone: string): void {
     const { ownName, members, connected } = this.sources;
     this.zones.set(controller, zone);
@@ -52,7 +54,7 @@
     }
   }
 
-  /** Whether the gateway follows this controller before all others that are connected. */
+  /** Whether this controller is the gateway's most preferred one among the connected controllers. */
   isPreferredFor({ name, zone }: KnownGateway): boolean {
     const { ownName, connected } = this.sources;
     const usable = new Set([ownName]);
@@ -62,7 +64,10 @@
     return first?.memberId === ownName;
   }
 
-  /** Names of those that are to send documents to gateways of the zone: its own, else this one. */
+  /**
+   * Returns the names of the controllers that send documents to gateways of the zone: the
+   * controllers of that zone, or this controller if the zone has none.
+   */
   responsibleFor(zone: string): readonly string[] {
     const inZone = this.all().filter((controller) => controller.zone === zone);
     return inZone.length === 0 ? [this.sources.ownName] : inZone.map(({ memberId }) => memberId);
--- a/src/directory/directory-client.ts
+++ b/src/directory/directory-client.ts
@@ -1,7 +1,7 @@
 /**
- * Follows several controllers at once and joins what they say, so that the loss
- * or silence of one of them delays nothing. Controllers follow all others;
- * gateways follow few, as what controllers send grows with their followers.
+ * Follows several controllers at once and merges their updates, so that the loss or silence of one
+ * controller delays nothing. Controllers follow all other controllers; gateways follow only a few,
+ * because a controller's traffic grows with the number of its subscribers.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
@@ -33,13 +33,13 @@
 import type { KnownGateway } from './leaf-gateway.js';
 import type { ReplicaDirectory } from './replica-directory.js';
 
-/** A route document, and who sent it. */
+/** A route document and the controller that sent it. */
 export interface ReceivedDocument extends DocumentMessage {
   /** `host:port` of the controller. */
   readonly controller: string;
 }
 
-/** What a client is started with. */
+/** Dependencies and settings of a {@link DirectoryClient}. */
 export interface DirectoryClientOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
@@ -49,27 +49,27 @@
   readonly unusable: UnusableEntries;
   readonly logger: Logger;
   readonly traffic: ZoneTraffic;
-  /** This process's own address for internal messages, which it does not follow. */
+  /** This process's own address for internal messages; the client never follows it. */
   readonly ownAddress?: string;
-  /** See `DirectoryLinkParts.relay`. */
+  /** See {@link DirectoryLinkParts.relay}. */
   readonly relay?: () => Promise<boolean>;
-  /** Controllers that are followed at once; absent: all. */
+  /** Number of controllers to follow at once; all of them when absent. */
   readonly followed?: number;
-  /** Where it takes gathers of other gateways, `host:port`; absent when it takes none. */
+  /** `host:port` at which this gateway accepts gathers from other gateways; absent if it accepts none. */
   readonly gatherAddress?: string;
 }
 
-/** See the module comment. */
+/** Call {@link DirectoryClient.setSeeds} or {@link DirectoryClient.setMembers} to start following. */
 export class DirectoryClient {
-  /** Emits each route document that is newer than all before it. */
+  /** Emits each route document with a higher version than all earlier ones. */
   readonly documents: Stream<ReceivedDocument>;
-  /** Emits each order about a zone that a controller tells of, in the order in which they come. */
+  /** Emits the zone evacuations received from controllers, in order of arrival. */
   readonly evacuations: Stream<ZoneEvacuation>;
-  /** Emits each word about a request under which replicas ended. */
+  /** Emits each received quarantine entry. */
   readonly quarantine: Stream<QuarantineEntry>;
-  /** Emits whenever one more controller can be asked. */
+  /** Emits whenever another controller becomes available for requests. */
   readonly followed: Stream<void>;
-  /** Emits each answer to {@link DirectoryClient.requestVersionConfirmation}. */
+  /** Emits each response to {@link DirectoryClient.requestVersionConfirmation}. */
   readonly confirmations: Stream<VersionConfirmedMessage>;
   private readonly emitQuarantine: (entry: QuarantineEntry) => void;
   private readonly emitFollowed: () => void;
@@ -101,46 +101,49 @@
     if (followed !== undefined) void this.controllers.maintainLinks();
   }
 
-  /** Replaces the addresses to begin with, `host:port` each. */
+  /** Replaces the seed addresses, `host:port` each. */
   setSeeds(addresses: readonly string[]): void {
     this.controllers.setSeeds(addresses);
   }
 
-  /** Replaces the known members of the group, as this controller's own log has them. */
+  /** Replaces the group members recorded in this controller's own log, `host:port` each. */
   setMembers(addresses: readonly string[]): void {
     this.controllers.setMembers(addresses);
   }
 
-  /** Whether a controller that knew of a quorum lately is being followed. */
+  /** Whether at least one followed controller has recently confirmed a quorum. */
   get isFresh(): boolean {
     return this.controllers.isFresh;
   }
 
-  /** Controllers that are being followed now. */
+  /** Number of controllers that are currently followed. */
   get openLinks(): number {
     return this.controllers.openLinks.length;
   }
 
-  /** The most gateways that any controller has seen lately; undefined while none is followed. */
+  /** Highest gateway count reported by a followed controller; undefined while none is followed. */
   get gateways(): number | undefined {
     const counts = this.controllers.openLinks.flatMap(({ status }) => status?.gateways ?? []);
     return counts.length === 0 ? undefined : Math.max(...counts);
   }
 
   /**
-   * Gateways as any followed controller names them, see `GatewayMessage`; those
-   * last named while none is followed. A new array whenever it changes.
+   * Gateways listed by any followed controller, see `GatewayMessage`. Keeps the last list while no
+   * controller is followed. A new array is created on every change.
    */
   get knownGateways(): readonly KnownGateway[] {
     return this.mergedGateways;
   }
 
-  /** `host:port` of every controller that is known, followed or not. */
+  /** `host:port` of every known controller, followed or not. */
   get controllerAddresses(): readonly string[] {
     return this.controllers.known.map(({ address }) => address);
   }
 
-  /** Tells one of the followed controllers, the freshest first; false while none is followed. */
+  /**
+   * Sends crash evidence to one followed controller that is not stopping, trying the freshest first;
+   * returns false if no controller could be sent the evidence.
+   */
   reportCrashEvidence(change: QuarantineChange): boolean {
     const links = this.controllers.openLinks
       .filter(({ status }) => status?.stopping !== true)
@@ -150,8 +153,9 @@
   }
 
   /**
-   * Asks a controller which version of the route document is in force: the one that is followed
-   * first, and with each of the `unanswered` asks before it another one. False while none is followed.
+   * Asks a controller which version of the route document is in force. The preferred controller is
+   * asked first; each of the `unanswered` earlier requests moves on to the next controller. Returns
+   * false while no controller is followed.
    */
   requestVersionConfirmation(number: number, unanswered: number): boolean {
     const links = this.controllers.linksByPreference;
@@ -224,12 +228,12 @@
     if (isAccepted) this.options.directory.report(entry);
   }
 
-  /** Whether this process may still lack replicas that the fleet knew before it started. */
+  /** Whether this process started so recently that it may lack replicas already known to the fleet. */
   private get acceptsRestored(): boolean {
     return this.options.environment.clock.now() - this.startedAt < RESTORED_ACCEPTED_MS;
   }
 
-  /** An older document never replaces a newer one, whoever sends it. */
+  /** Ignores documents that are not newer than the current one, whichever controller sends them. */
   private handleDocument(document: ReceivedDocument): void {
     if (document.version <= this.documentVersion) return;
     this.documentVersion = document.version;
--- a/src/directory/directory-link.ts
+++ b/src/directory/directory-link.ts
@@ -1,4 +1,4 @@
-/** The subscriber's end of the directory stream to one controller; reconnects until stopped. */
+/** The subscriber's end of the directory stream from one controller; reconnects until stopped. */
 import { SilenceGuard } from '../control-stream/silence-guard.js';
 import { dial } from '../protocol/dial.js';
 import { expandFrame, isCompressed } from '../protocol/compressed-frame.js';
@@ -27,76 +27,77 @@
   STREAM_SILENCE_MS,
 } from './directory-timing.js';
 
-/** What a controller tells besides its own state. */
+/** Messages that a link passes on; it handles status, controller and gateway messages itself. */
 export type DirectoryUpdate = Exclude<
   DirectoryMessage,
   StatusMessage | ControllerMessage | GatewayMessage
 >;
 
-/** What all links of a process share. */
+/** Dependencies and callbacks shared by all links of a process. */
 export interface DirectoryLinkParts {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly subscriberKind: SubscriberKind;
   readonly zone: string;
   readonly traffic: ZoneTraffic;
-  /** Zone of the controller at an address; empty while it is not known. */
+  /** Zone of the controller at an address; empty while unknown. */
   readonly zoneOf: (address: string) => string;
-  /** See `SubscribeMessage.gatherAddress`. */
+  /** See {@link SubscribeMessage.gatherAddress}. */
   readonly gatherAddress: string;
   readonly onUpdate: (message: DirectoryUpdate, link: DirectoryLink) => void;
-  /** A controller named gateways that joined or went. */
+  /** Called when a controller reports that gateways joined or left. */
   readonly onGateways: () => void;
-  /** A controller named the members of its group. */
+  /** Called when a controller sends the members of its group. */
   readonly onControllers: (link: DirectoryLink) => void;
-  /** Version of the route document in force here. */
+  /** Version of the route document in force in this process. */
   readonly documentVersion: () => number;
   /**
-   * Resolves once all gateways that follow this process hold what it knows now;
-   * false when that takes too long. Absent at gateways, which nobody follows.
+   * Resolves to true once all gateways that follow this process have confirmed everything it
+   * currently knows, and to false on timeout. Absent in gateways, which have no subscribers.
    */
   readonly relay?: (() => Promise<boolean>) | undefined;
-  /** The controller has sent its first status on a connection: it can be asked now. */
+  /** Called on the first status of a connection; from then on the controller accepts requests. */
   readonly onFirstStatus: () => void;
-  /** The controller sent what cannot be read; the link is about to be lost. */
+  /** Called when the controller sends an unreadable frame; the link closes afterwards. */
   readonly onUnreadable: (link: DirectoryLink) => void;
-  /** The link was opened or lost. */
+  /** Called when the link opens or is lost. */
   readonly onState: (link: DirectoryLink, isOpen: boolean) => void;
 }
 
-/** What the controller last said of itself. */
+/** The controller's latest status. */
 export interface LinkStatus extends StatusMessage {
+  /** Clock reading. */
   readonly receivedAt: number;
 }
 
-/** What a frame brought. */
+/** Result of handling one frame. */
 interface FrameResult {
-  /** Of the controller's directory; undefined for an answer, which needs no confirmation. */
+  /** Position of the controller's directory; undefined for a response, which needs no confirmation. */
   readonly position: number | undefined;
-  /** Whether it told of a replica. */
+  /** Whether the frame contained replica entries. */
   readonly hasReplicas: boolean;
 }
 
-/** `first`, doubled with each failure in a row, at most `longest`. */
+/** Returns `initialMs` doubled for each consecutive failure, limited to `maximumMs`. */
 function backoffMs(initialMs: number, maximumMs: number, failures: number): number {
   return Math.min(initialMs * 2 ** failures, maximumMs);
 }
 
-/** See the module comment. */
+/** Starts to connect when constructed. */
 export class DirectoryLink {
-  /** The controller's last word on this connection; undefined while there is none. */
+  /** Latest status on this connection; undefined before the first. */
   status: LinkStatus | undefined;
-  /** The group's members, as the controller last named them. */
+  /** Group members last sent by the controller. */
   controllers: readonly KnownController[] = [];
-  /** When the first connection was tried. Clock reading. */
+  /** When the first connection was attempted. Clock reading. */
   readonly startedAt: number;
-  /** Gateways by name, as the controller last named them on this connection. */
+  /** Gateways by name, as listed by the controller on this connection. */
   readonly gateways = new Map<string, KnownGateway>();
   private readonly stopped = new AbortController();
   private connection: MessageConnection | undefined;
-  /** Newest position that the gateways behind this process have yet to confirm. */
+  /** Newest position not yet confirmed by the gateways that follow this process. */
   private unrelayedPosition: number | undefined;
-  /** Dials in a row that opened no stream. */
+  /** Consecutive dials that opened no stream. */
   private failures = 0;
   private readonly finished: Promise<void>;
 
@@ -109,10 +110,10 @@
     this.finished = this.run();
   }
 
-  /** Sends a message when the stream is open; false when it is not. */
+  /** Sends a message if the stream is open; returns false otherwise. */
   send(message: DirectoryMessage): boolean {
     if (this.connection === undefined || this.status === undefined) return false;
-    // A connection that broke is noticed by the task that reads it.
+    // The receiving task detects a broken connection.
     void this.connection.send(DIRECTORY_CODEC.encode(message)).catch(() => undefined);
     return true;
   }
@@ -159,7 +160,7 @@
       onState(this, true);
       await this.follow(connection);
     } catch (error) {
-      // Lost, or not a controller: dialled again after a pause.
+      // The connection failed or the peer is not a controller; run() dials again after a backoff.
       if (isProtocolViolation(error)) this.parts.onUnreadable(this);
     } finally {
       this.connection?.close();
@@ -204,7 +205,10 @@
     }
   }
 
-  /** One wait at a time: what comes meanwhile is confirmed together by the next one. */
+  /**
+   * Waits until the gateways that follow this process have confirmed `position`, then tells the
+   * controller. Only one wait runs at a time; the next one covers all positions that arrive meanwhile.
+   */
   private async confirmRelayed(position: number): Promise<void> {
     const { relay } = this.parts;
     const isWaiting = this.unrelayedPosition !== undefined;
@@ -215,7 +219,7 @@
       const isRelayed = await relay();
       if (this.unrelayedPosition === current) this.unrelayedPosition = undefined;
       if (!isRelayed) continue;
-      // A connection that broke is noticed by the task that reads it.
+      // The receiving task detects a broken connection.
       await this.connection
         ?.send(DIRECTORY_CODEC.encode({ kind: 'relayed', position: current }))
         .catch(() => undefined);
@@ -226,7 +230,7 @@
     return DIRECTORY_CODEC.decodeBatch(expandFrame(frame, this.address), this.address);
   }
 
-  /** Takes a whole frame in. */
+  /** Handles all messages of a frame, then calls the callbacks for gateways and controllers once. */
   private handleFrame(frame: Uint8Array): FrameResult {
     let position: number | undefined;
     const controllers: KnownController[] = [];
--- a/src/directory/directory-messages.ts
+++ b/src/directory/directory-messages.ts
@@ -1,18 +1,18 @@
-/** Messages of the directory stream, from controllers to subscribers and back. */
+/** Messages of the directory stream, in both directions between controllers and subscribers. */
 import { MessageCodec, type MessageField } from '../protocol/message-codec.js';
 import type { ZoneEvacuation } from '../evacuations/zone-evacuation.js';
 
 /** First message of a subscriber. */
 export interface SubscribeMessage {
   readonly kind: 'subscribe';
-  /** A `SubscriberKind`. */
+  /** A {@link SubscriberKind}. */
   readonly subscriberKind: string;
   readonly zone: string;
-  /** Where other gateways reach it, `host:port`; empty when it takes no gathers. */
+  /** `host:port` at which the subscriber accepts gathers from other gateways; empty if it accepts none. */
   readonly gatherAddress: string;
 }
 
-/** A replica's entry; see `ReplicaEntry`. */
+/** A replica's entry without incarnation; see `ReplicaEntry`. */
 export interface ReplicaMessage {
   readonly kind: 'replica';
   readonly replicaId: string;
@@ -26,14 +26,14 @@
   readonly restored: boolean;
 }
 
-/** The entry of a replica that says when its process started; see `ReplicaEntry`. */
+/** The entry of a replica that reports when its process started; see `ReplicaEntry`. */
 export interface ReplicaIncarnationMessage extends Omit<ReplicaMessage, 'kind'> {
   readonly kind: 'replicaLife';
   readonly bornAt: number;
   readonly generation: number;
 }
 
-/** The sender heard the replica's heartbeat since its last frame. */
+/** The sender has received a heartbeat of the replica since its previous frame. */
 export interface HeardMessage {
   readonly kind: 'heard';
   readonly replicaId: string;
@@ -46,12 +46,12 @@
   readonly content: Uint8Array;
 }
 
-/** The last order about a zone; see `ZoneEvacuation`. */
+/** The latest evacuation state of a zone; see `ZoneEvacuation`. */
 export interface EvacuationMessage extends ZoneEvacuation {
   readonly kind: 'evacuation';
 }
 
-/** What the controllers agreed on about a request under which replicas ended; see `QuarantineEntry`. */
+/** What the controllers agreed on about a request suspected of crashing replicas; see `QuarantineEntry`. */
 export interface QuarantineMessage {
   readonly kind: 'quarantine';
   /** A `QuarantineState`. */
@@ -65,7 +65,7 @@
   readonly endedInTrial: string;
 }
 
-/** What a gateway saw of such a request; see `QuarantineChange`. */
+/** A gateway's evidence about a request suspected of crashing replicas; see `QuarantineChange`. */
 export interface CrashEvidenceMessage {
   readonly kind: 'crashEvidence';
   /** A `QuarantineChangeKind`. */
@@ -79,43 +79,46 @@
   readonly endedInTrial: string;
 }
 
-/** One controller of the group, as its members know it. */
+/** One member of the controller group. */
 export interface ControllerMessage {
   readonly kind: 'controller';
   readonly memberId: string;
   /** `host:port` for internal messages. */
   readonly address: string;
-  /** Empty while the sender does not know it. */
+  /** Empty while unknown to the sender. */
   readonly zone: string;
 }
 
 /**
- * A gateway that joined or went. Controllers are told of those that follow the
- * sender, gateways of those that take gathers of others.
+ * A gateway that joined or left. Controllers are sent the gateways that follow the sender; gateways
+ * are sent the leaf gateways, which accept gathers from other gateways.
  */
 export interface GatewayMessage {
   readonly kind: 'gateway';
   readonly name: string;
   readonly zone: string;
-  /** See `SubscribeMessage.gatherAddress`. */
+  /** See {@link SubscribeMessage.gatherAddress}. */
   readonly address: string;
   readonly isGone: boolean;
 }
 
-/** Last message of each frame; a frame of it alone is the heartbeat. */
+/** Last message of each frame from a controller; a frame with only a status is a heartbeat. */
 export interface StatusMessage {
   readonly kind: 'status';
-  /** Of the sender's directory, up to which the subscriber has now been told. */
+  /** Position of the sender's directory up to which the subscriber now has all changes. */
   readonly position: number;
-  /** How long ago the sender last knew of a quorum with everything committed applied. Milliseconds. */
+  /**
+   * Time since the sender last confirmed a quorum and had applied every committed entry.
+   * Milliseconds.
+   */
   readonly ageMs: number;
-  /** Gateways that this sender has seen lately. */
+  /** Number of gateways recently connected, as known to the sender. */
   readonly gateways: number;
   /** Whether the sender is about to stop. */
   readonly stopping: boolean;
 }
 
-/** The subscriber has taken in everything up to a position. */
+/** The subscriber has applied everything up to a position. */
 export interface ConfirmMessage {
   readonly kind: 'confirm';
   readonly position: number;
@@ -123,25 +126,25 @@
   readonly documentVersion: number;
 }
 
-/** All gateways that follow the subscribing controller have taken in everything up to a position. */
+/** All gateways that follow the subscribing controller have applied everything up to a position. */
 export interface RelayedMessage {
   readonly kind: 'relayed';
   readonly position: number;
 }
 
-/** A gateway asks which version of the route document is in force. */
+/** A gateway's request for the version of the route document in force. */
 export interface ConfirmVersionMessage {
   readonly kind: 'confirmVersion';
-  /** Names the question in its answer. */
+  /** Identifies the request in its response. */
   readonly number: number;
 }
 
-/** The answer: a quorum held the version after the question had come. */
+/** Response to {@link ConfirmVersionMessage}: a quorum held this version after the request arrived. */
 export interface VersionConfirmedMessage {
   readonly kind: 'versionConfirmed';
-  /** Of the question. */
+  /** Number of the request. */
   readonly number: number;
-  /** {@link NO_DOCUMENT} when there is none. */
+  /** {@link NO_DOCUMENT} if there is no document. */
   readonly version: number;
 }
 
@@ -162,10 +165,10 @@
   | ConfirmVersionMessage
   | VersionConfirmedMessage;
 
-/** Stands for "no route document yet". */
+/** Document version that means "no route document yet". */
 export const NO_DOCUMENT = -1;
 
-/** Who subscribes. */
+/** Kind of process that subscribes. */
 export enum SubscriberKind {
   Gateway = 'gateway',
   Controller = 'controller',
--- a/src/directory/directory-metrics.ts
+++ b/src/directory/directory-metrics.ts
@@ -1,21 +1,24 @@
-/** Counters and gauges of a controller's end of the directory stream. */
+/** Metrics of the controller's end of the directory stream. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 
-/** Where a subscriber is, seen from the controller. */
+/** Whether a subscriber is in the controller's own zone; the values are label values. */
 export enum SubscriberPlace {
   OwnZone = 'own_zone',
   OtherZone = 'other_zone',
 }
 
-/** What the gauges show when they are read. */
+/** Sources of the gauges, read at each scrape. */
 export interface DirectoryReadings {
-  /** Version of the route document here; undefined before the first. */
+  /** Version of this controller's route document; undefined before the first. */
   readonly routeVersion: () => number | undefined;
-  /** For how long each gateway that follows this controller and lacks its routes has lacked them. Milliseconds. */
+  /**
+   * For each gateway that follows this controller and lacks its route document, how long the
+   * gateway has lacked it. Milliseconds.
+   */
   readonly lackingMs: () => readonly number[];
 }
 
-/** See the module comment. */
+/** Registers all metrics when constructed; the gauges update themselves. */
 export class DirectoryMetrics {
   readonly documents: Counter<'place'>;
   readonly documentBytes: Counter<'place'>;
@@ -24,19 +27,19 @@
     const registers = [registry];
     this.documents = new Counter({
       name: 'driftway_controller_route_documents_sent_total',
-      help: 'Route documents that were sent to gateways, by where those are.',
+      help: 'Route documents sent to gateways, by place of the gateway.',
       labelNames: ['place'],
       registers,
     });
     this.documentBytes = new Counter({
       name: 'driftway_controller_route_document_bytes_sent_total',
-      help: 'Bytes of route documents that were sent, by where the gateway is.',
+      help: 'Bytes of route documents sent to gateways, by place of the gateway.',
       labelNames: ['place'],
       registers,
     });
     new Gauge({
       name: 'driftway_controller_route_version',
-      help: 'Version of the newest route document that this controller knows to be accepted.',
+      help: 'Version of the newest accepted route document known to this controller; -1 before the first.',
       registers,
       collect() {
         this.set(readings.routeVersion() ?? -1);
@@ -52,7 +55,7 @@
     });
     new Gauge({
       name: 'driftway_controller_routes_lacking_seconds',
-      help: 'Longest time for which such a gateway has lacked a route document; 0 for none.',
+      help: 'Longest time for which a gateway that follows this controller has lacked its route document; 0 if none lacks it.',
       registers,
       collect() {
         this.set(Math.max(0, ...readings.lackingMs()) / 1_000);
--- a/src/directory/directory-server.ts
+++ b/src/directory/directory-server.ts
@@ -1,4 +1,4 @@
-/** The controller's end of the directory stream: tells subscribers what changed and hears what they hold. */
+/** The controller's end of the directory stream: sends changes to subscribers and tracks what they confirm. */
 import type { Registry } from 'prom-client';
 import { Notifier } from '../consensus/notifier.js';
 import { SilenceGuard } from '../control-stream/silence-guard.js';
@@ -18,10 +18,10 @@
 import type { KnownGateway } from './leaf-gateway.js';
 import { BATCH_INTERVAL_MS, STATUS_INTERVAL_MS, STREAM_SILENCE_MS } from './directory-timing.js';
 
-/** Most messages of one frame, which keeps it far below the longest frame. */
+/** Most messages in one frame; keeps frames far below the maximum frame length. */
 const MESSAGES_PER_FRAME = 2_000;
 
-/** What subscribers are told, besides what the server knows of them. */
+/** Data and callbacks of the server; it adds what it knows of its subscribers itself. */
 export interface DirectoryServerSources extends Pick<
   DirectorySessionSources,
   | 'clock'
@@ -33,33 +33,33 @@
   | 'ageMs'
   | 'ownZone'
 > {
-  /** Whether long frames to subscribers of other zones are compressed. */
+  /** Whether long frames to subscribers in other zones are compressed. */
   readonly compressBetweenZones: boolean;
   readonly members: () => readonly DirectoryMember[];
-  /** This controller. */
+  /** Name of this controller. */
   readonly ownName: string;
   readonly registry: Registry;
-  /** Gateways that follow other controllers, as those say. */
+  /** Gateways that follow other controllers, as reported by those controllers. */
   readonly otherGateways: () => readonly KnownGateway[];
-  /** A subscriber sent what cannot be read; its stream ends. */
+  /** Called when a subscriber sends an unreadable frame; its stream is closed. */
   readonly onUnreadable: (subscriber: string) => void;
-  /** A gateway saw replicas end under a request, or an answer to it. */
+  /** Called when a gateway reports crash evidence: replicas that ended under a request, or a reply to it. */
   readonly onCrashEvidence: (change: QuarantineChange) => void;
-  /** Answers gateways that ask which route document is in force. */
+  /** Answers gateways that ask which route document version is in force. */
   readonly confirmer: VersionConfirmer;
 }
 
-/** Who confirmed a position. */
+/** Which subscribers have confirmed a position. */
 export interface Confirmation {
-  /** Names of the controllers that hold it, besides this one. */
+  /** Names of the other controllers that have confirmed the position. */
   readonly controllers: ReadonlySet<string>;
-  /** Gateways that follow this controller and do not hold it yet. */
+  /** Number of gateways that follow this controller and have not confirmed the position. */
   readonly gatewaysMissing: number;
-  /** Controllers that follow this one and whose gateways do not all hold it yet. */
+  /** Number of controllers that follow this one and have gateways yet to confirm the position. */
   readonly relaysMissing: number;
 }
 
-/** See the module comment. */
+/** Keeps one {@link DirectorySession} for each connected subscriber. */
 export class DirectoryServer {
   private readonly sessions = new Set<DirectorySession>();
   private readonly roster: GatewayRoster;
@@ -95,10 +95,10 @@
     });
   }
 
-  /** How far the gateways that follow this controller are with its route document. */
+  /** Returns the route document state of each gateway that follows this controller. */
   gatewayRoutes(): GatewayRoutes[] {
     const byGateway = new Map<string, GatewayRoutes>();
-    // Of two streams of a gateway the later one counts: the other is about to be closed.
+    // If a gateway has two streams, the later one counts: the earlier one is about to close.
     for (const session of this.sessions) {
       if (session.kind !== SubscriberKind.Gateway) continue;
       byGateway.set(session.name, this.routesOf(session));
@@ -106,19 +106,22 @@
     return [...byGateway.values()];
   }
 
-  /** Something may have changed that subscribers are told. */
+  /** Wakes the senders after a change that subscribers may have to receive. */
   notify(): void {
     this.updateNotifier.notify();
   }
 
-  /** A replica's heartbeat came to this controller. */
+  /** Records a heartbeat that a replica sent to this controller, for the next frame to the others. */
   noteHeartbeat(replicaId: string): void {
     for (const session of this.sessions) {
       if (session.kind === SubscriberKind.Controller) session.heard.add(replicaId);
     }
   }
 
-  /** Waits until `isEnough` of the confirmations of `position`, or `milliseconds` have passed. */
+  /**
+   * Waits until `isEnough` accepts the confirmations of `position`. Returns false if that takes
+   * longer than `timeoutMs`.
+   */
   async waitForConfirmations(
     position: number,
     timeoutMs: number,
@@ -134,6 +137,7 @@
     return true;
   }
 
+  /** Returns which subscribers have confirmed `position` so far. */
   confirmation(position: number): Confirmation {
     const controllers = new Set<string>();
     let gatewaysMissing = 0;
@@ -163,7 +167,7 @@
     }
   }
 
-  /** Tells every subscriber that this controller is about to stop. */
+  /** Announces to every subscriber that this controller is about to stop. */
   stop(): void {
     this.stopping = true;
     this.updateNotifier.notify();
@@ -176,7 +180,7 @@
     try {
       return await this.open(connection, peer);
     } catch (error) {
-      // A connection that broke before it subscribed needs no more than to be closed.
+      // A connection that broke before it subscribed only has to be closed.
       if (isProtocolViolation(error)) this.sources.onUnreadable(peer.name);
       return undefined;
     }
@@ -243,7 +247,10 @@
     return messages;
   }
 
-  /** `messages` tell up to the `position`, which is read before anything is awaited. */
+  /**
+   * Sends `messages`, which contain all changes up to `position`. The position is read before the
+   * first await, since the session may move on meanwhile.
+   */
   private async sendFrames(
     connection: MessageConnection,
     messages: readonly DirectoryMessage[],
@@ -254,7 +261,7 @@
       const batch = messages.slice(start, start + MESSAGES_PER_FRAME);
       start += MESSAGES_PER_FRAME;
       const isLast = start >= messages.length;
-      // Only the last frame says that all is told up to the position.
+      // Only the last frame carries the position: the earlier ones do not contain all changes.
       batch.push(this.status(isLast ? position : 0));
       const frame = DIRECTORY_CODEC.encodeBatch(batch);
       await connection.send(isCompressed ? compressFrame(frame) : frame);
@@ -295,16 +302,16 @@
         if (message.kind === 'confirmVersion') this.confirmVersion(connection, message.number);
       }
     } catch (error) {
-      // Broken, or not a confirmation: the stream is no use any more.
+      // The connection broke or sent an unreadable frame: the stream is closed.
       if (isProtocolViolation(error)) this.sources.onUnreadable(session.name);
     }
     connection.close();
   }
 
-  /** Sent at once, as the gateway's lease counts from when it asked. */
+  /** Responds without batching, because the gateway's lease starts when it sent the request. */
   private confirmVersion(connection: MessageConnection, number: number): void {
     this.sources.confirmer.requestConfirmation(number, (confirmed) => {
-      // A connection that broke is noticed by the task that reads it.
+      // The receiving task detects a broken connection.
       void connection.send(DIRECTORY_CODEC.encode(confirmed)).catch(() => undefined);
     });
   }
--- a/src/directory/directory-session.ts
+++ b/src/directory/directory-session.ts
@@ -1,4 +1,4 @@
-/** One subscriber's stream at a controller, and what is new to it. */
+/** State of one subscriber's directory stream at a controller: what was sent and what was confirmed. */
 import type { ZoneEvacuation } from '../evacuations/zone-evacuation.js';
 import { QuarantineState } from '../quarantine/quarantine-entry.js';
 import type { QuarantineRegister } from '../quarantine/quarantine-register.js';
@@ -12,63 +12,63 @@
 import type { KnownGateway } from './leaf-gateway.js';
 import type { ReplicaDirectory } from './replica-directory.js';
 
-/** A controller as subscribers are told of it. */
+/** A controller as announced to subscribers. */
 export interface DirectoryController {
   readonly memberId: string;
   readonly address: string;
-  /** Empty while it is not known. */
+  /** Empty while the zone is unknown. */
   readonly zone: string;
 }
 
-/** What subscribers are told. */
+/** Data that is sent to subscribers. */
 export interface DirectorySessionSources {
   readonly clock: Clock;
   readonly directory: ReplicaDirectory;
   readonly document: () => StoredRouteDocument | undefined;
-  /** Versions of the route document, as they became known here. */
+  /** When each version of the route document became known to this controller. */
   readonly routeHistory: VersionHistory;
-  /** Orders about zones; gateways are told of them. */
+  /** Zone evacuations; sent to gateways. */
   readonly evacuations: () => Iterable<ZoneEvacuation>;
-  /** Requests under which replicas ended; gateways are told of those that are suspected. */
+  /** Requests suspected of crashing replicas; sent to gateways unless merely observed. */
   readonly quarantine: Pick<QuarantineRegister, 'position' | 'changedAfter'>;
-  /** Whether a gateway follows this controller before all others that are connected. */
+  /** Whether this controller is the gateway's most preferred one among the connected controllers. */
   readonly isPreferredFor: (gateway: KnownGateway) => boolean;
   readonly controllers: () => readonly DirectoryController[];
-  /** See `StatusMessage.ageMs`. */
+  /** See {@link StatusMessage.ageMs}. */
   readonly ageMs: () => number;
   readonly ownZone: string;
-  /** Gateways that a subscriber of the kind is told of; see `GatewayMessage`. */
+  /** Gateways that are announced to a subscriber of the kind; see `GatewayMessage`. */
   readonly gatewaysFor: (kind: SubscriberKind) => Iterable<KnownGateway>;
 }
 
-/** See the module comment. */
+/** {@link DirectorySession.takeUpdates} returns each change once; a new stream needs a new session. */
 export class DirectorySession {
-  /** Told up to here. */
+  /** Directory position up to which changes were sent. */
   position = 0;
-  /** The subscriber has taken in everything up to here. */
+  /** Position up to which the subscriber has applied everything. */
   confirmedPosition = -1;
-  /** All gateways that follow the subscriber, a controller, have taken in everything up to here. */
+  /** Position up to which all gateways that follow the subscriber, a controller, have applied everything. */
   relayedPosition = -1;
-  /** Heartbeats heard since the last frame; only controllers are told of them. */
+  /** Ids of replicas with a heartbeat since the last frame; sent to controllers only. */
   readonly heard = new Set<string>();
-  /** Version of the route document that the subscriber last said it has in force. */
+  /** Version of the route document that the subscriber last reported to be in force. */
   confirmedDocumentVersion = NO_DOCUMENT;
   private documentVersion = NO_DOCUMENT;
-  /** When the last one was sent. Clock reading. */
+  /** When the last document was sent. Clock reading. */
   private documentSentAt = -Infinity;
   private controllersFingerprint = '';
-  /** Of the quarantine, up to which the subscriber was told. */
+  /** Position of the quarantine register up to which changes were sent. */
   private quarantinePosition = 0;
 
-  /** By zone, the revision of the last order that was told. */
+  /** Revision of the last evacuation that was sent, by zone. */
   private readonly sentEvacuations = new Map<string, number>();
   private readonly sentGateways = new Map<string, KnownGateway>();
 
   constructor(
     readonly kind: SubscriberKind,
-    /** The subscriber itself. */
+    /** The subscriber; its address is empty for a process that accepts no gathers. */
     readonly subscriber: KnownGateway,
-    /** Whether its frames are compressed: it is in another zone and understands that. */
+    /** Whether frames are compressed: the subscriber is in another zone and supports compression. */
     readonly isCompressed = false,
   ) {}
 
@@ -76,10 +76,10 @@
     return this.subscriber.name;
   }
 
-  /** Everything that the subscriber was not told yet. */
+  /** Returns everything that was not sent to the subscriber yet, and marks it as sent. */
   takeUpdates(sources: DirectorySessionSources): DirectoryMessage[] {
     const messages: DirectoryMessage[] = [];
-    // Before the routes: a gateway without routes sends nothing yet.
+    // Evacuations and quarantine come before the routes: a gateway without routes forwards nothing yet.
     this.addEvacuations(sources, messages);
     this.addQuarantine(sources, messages);
     this.addDocument(sources, messages);
@@ -95,17 +95,17 @@
   }
 
   /**
-   * Until the subscriber is sent a document that it lacks; Infinity when it lacks none.
-   * Milliseconds.
+   * Returns the time until the subscriber is due a document that it lacks; Infinity if it lacks
+   * none. Milliseconds.
    *
-   * A gateway gets documents from the controller that it follows before all others, one of its
-   * zone if there is one. Another one sends it a document only when it does not get it there.
-   * The time counts from the oldest version that it lacks: if a newer one began it again, changes
-   * that follow each other closely would never reach a gateway whose first controller is lost.
+   * A gateway receives documents from its preferred controller, which is in its own zone if that
+   * zone has one. Another controller sends a document only if the gateway does not receive it there.
+   * The delay counts from the oldest version that the gateway lacks: if each newer version restarted
+   * it, frequent changes would never reach a gateway whose preferred controller is lost.
    */
   documentDueInMs(sources: DirectorySessionSources): number {
     const { clock, ownZone, routeHistory, isPreferredFor } = sources;
-    // Controllers have it from the replicated log.
+    // Controllers read the document from the replicated log.
     if (this.kind !== SubscriberKind.Gateway) return Infinity;
     const lackingSince = routeHistory.supersededAt(this.heldVersion);
     if (lackingSince === undefined) return Infinity;
@@ -148,12 +148,12 @@
     messages.push({ kind: 'document', ...document });
   }
 
-  /** Version of the route document that the subscriber has, or is about to have from here. */
+  /** Newest document version that the subscriber has confirmed or was sent on this stream. */
   private get heldVersion(): number {
     return Math.max(this.documentVersion, this.confirmedDocumentVersion);
   }
 
-  /** What changed in the list since it was told. */
+  /** Adds the gateways that joined, left or changed their address since the last call. */
   private addGateways(sources: DirectorySessionSources, messages: DirectoryMessage[]): void {
     const gone = new Map(this.sentGateways);
     for (const gateway of sources.gatewaysFor(this.kind)) {
--- a/src/directory/directory-timing.ts
+++ b/src/directory/directory-timing.ts
@@ -1,65 +1,65 @@
-/** The times of the directory stream, in one place because they depend on each other. Milliseconds. */
+/** Timing constants of the directory stream, in one module because they depend on each other. Milliseconds. */
 
-/** A controller writes a status this often, also when nothing changes. */
+/** Longest interval between two statuses of a controller, also when nothing changes. */
 export const STATUS_INTERVAL_MS = 400;
 
-/** Either side closes a stream over which nothing arrived for this long. */
+/** Either side closes a stream on which it has received nothing for this long. */
 export const STREAM_SILENCE_MS = 1_600;
 
 /**
- * Time to open a connection to a controller: the first time, and at most. A
- * machine that has no power yet answers nothing, and another dial soon after
- * finds it; both times double with each failure in a row.
+ * Initial and maximum timeout for dialling a controller; doubles with each consecutive failure, as
+ * does the redial backoff. It starts short because a machine that is still powered off answers
+ * nothing, and a dial soon afterwards reaches it.
  */
 export const INITIAL_DIAL_TIMEOUT_MS = 150;
 export const MAXIMUM_DIAL_TIMEOUT_MS = 600;
 
-/** Pause before a controller is dialled again, the first time and at most; jittered. */
+/** Initial and maximum backoff before a controller is dialled again; jittered. */
 export const INITIAL_REDIAL_BACKOFF_MS = 50;
 export const MAXIMUM_REDIAL_BACKOFF_MS = 300;
 
-/** News within this time goes into one frame. */
+/** Changes within this time are sent in one frame. */
 export const BATCH_INTERVAL_MS = 5;
 
 /**
- * How often a controller looks which gateways there are, and chooses those that
- * take gathers of others: when a fleet starts, they come one after the other.
+ * How often a controller refreshes its list of gateways and chooses the leaf gateways. Refreshing at
+ * an interval avoids a new choice for each gateway when a fleet starts and they connect one by one.
  */
 export const ROSTER_REFRESH_INTERVAL_MS = 400;
 
-/** How often a gateway looks whether the controllers that it follows are fresh. */
+/** How often a gateway checks whether the controllers that it follows are fresh. */
 export const LINK_CHECK_INTERVAL_MS = 250;
 
 /**
- * A controller is followed no longer alone when what it knows is older: three of
- * its statuses. Together with a dial that is well below the seconds within which
+ * Age of a followed controller's status above which another controller is followed as well. Equals
+ * three status intervals. With the time for a dial added, it is well below the seconds within which
  * a change has to be in force.
  */
 export const FOLLOWED_FRESHNESS_MS = 1_200;
 
-/** For so long after the first dial a controller counts as one that will be fresh. */
+/** How long after the first dial a controller that is not fresh yet counts as pending. */
 export const PENDING_AFTER_DIAL_MS = 1_000;
 
 /**
- * A controller that a gateway does not follow before others sends it a new route document this
- * much later, which is two statuses: by then it has said whether it has it.
+ * Delay after which a controller that is not a gateway's preferred one sends it a new route document.
+ * It covers two status intervals: by then the gateway has confirmed the document if it received it.
  */
 export const FALLBACK_DOCUMENT_DELAY_MS = 1_000;
 
 /**
- * A gateway of another zone is sent route documents at most this often by the controller that it
- * follows before others, which bounds the bytes between zones under changes without a pause.
+ * Minimum interval between route documents that a preferred controller sends to a gateway in another
+ * zone. It bounds the bytes between zones under continuous changes.
  */
 export const CROSS_ZONE_DOCUMENT_INTERVAL_MS = 250;
 
-/** A gateway counts for shares of budgets this long after it was last connected. */
+/** How long after its last connection a gateway still counts when budgets are shared. */
 export const GATEWAY_RETENTION_MS = 15_000;
 
-/** What a controller sends is taken as fresh while it knew of a quorum within this time. */
+/** A controller's updates count as fresh while it has confirmed a quorum within this time. */
 export const FRESHNESS_MS = 2_500;
 
 /**
- * For so long after its start a process takes replicas that a controller only
- * read back from its disk; later it knows better itself.
+ * How long after its start a process accepts replicas that a controller has only restored from its
+ * disk; afterwards its own information is more recent.
  */
 export const RESTORED_ACCEPTED_MS = 8_000;
--- a/src/directory/followed-controllers.ts
+++ b/src/directory/followed-controllers.ts
@@ -1,6 +1,7 @@
 /**
- * The controllers that a process knows, the links to those that it follows, and which of them it
- * asks. Controllers follow all others; gateways follow few, and replace those that are not fresh.
+ * The controllers known to a process, the links to those that it follows, and the order in which it
+ * sends them requests. Controllers follow all other controllers; gateways follow a few and replace
+ * those that are not fresh.
  */
 import type { Environment } from '../seams/environment.js';
 import {
@@ -17,47 +18,47 @@
   FRESHNESS_MS,
 } from './directory-timing.js';
 
-/** Most controllers that are followed at once. */
+/** Most controllers followed at once. */
 const MAXIMUM_LINKS = 12;
 
-/** Who follows, and how. */
+/** The process that follows, and how it opens links. */
 export interface FollowedControllersOptions {
   readonly environment: Environment;
   readonly ownName: string;
   readonly ownZone: string;
-  /** This process's own address for internal messages, which it does not follow. */
+  /** This process's own address for internal messages, which is never followed. */
   readonly ownAddress: string | undefined;
-  /** Controllers that are followed at once; undefined: all. */
+  /** Number of controllers to follow at once; all of them when undefined. */
   readonly followed: number | undefined;
   /** Opens the link to the controller at an address, `host:port`. */
   readonly createLink: (address: string) => DirectoryLink;
 }
 
-/** See the module comment. */
+/** Opens and closes links whenever the known controllers change, until stopped. */
 export class FollowedControllers {
-  /** Zones of controllers by their address, as they were last named. */
+  /** Last known zones of controllers by address. */
   private readonly zones = new Map<string, string>();
   private readonly links = new Map<string, DirectoryLink>();
   private seeds: readonly string[] = [];
-  /** As this process's own log has them; empty at a gateway, which goes by what controllers say. */
+  /** Members in this process's own log; empty in a gateway, which uses the lists sent by controllers. */
   private members: readonly string[] = [];
   private readonly stopped = new AbortController();
 
   constructor(private readonly options: FollowedControllersOptions) {}
 
-  /** Replaces the addresses to begin with, `host:port` each. */
+  /** Replaces the seed addresses, `host:port` each. */
   setSeeds(addresses: readonly string[]): void {
     this.seeds = addresses;
     this.adjustLinks();
   }
 
-  /** Replaces the known members of the group, as this controller's own log has them. */
+  /** Replaces the group members recorded in this controller's own log, `host:port` each. */
   setMembers(addresses: readonly string[]): void {
     this.members = addresses;
     this.adjustLinks();
   }
 
-  /** A controller has named the members of its group. */
+  /** Records the group members that a controller has sent. */
   noteGroupMembers(controllers: readonly KnownController[]): void {
     for (const { address, zone } of controllers) {
       if (zone !== '') this.zones.set(address, zone);
@@ -65,23 +66,26 @@
     this.adjustLinks();
   }
 
-  /** Zone of the controller at an address; empty while it is not known. */
+  /** Zone of the controller at an address; empty while unknown. */
   zoneOf(address: string): string {
     return this.zones.get(address) ?? '';
   }
 
-  /** Links to controllers that are being followed now. */
+  /** Links to controllers that are currently followed. */
   get openLinks(): readonly DirectoryLink[] {
     return [...this.links.values()].filter(({ status }) => status !== undefined);
   }
 
-  /** Whether a controller that knew of a quorum lately is being followed. */
+  /** Whether at least one followed controller has recently confirmed a quorum. */
   get isFresh(): boolean {
     const now = this.now();
     return this.openLinks.some((link) => this.ageOf(link, now) < FRESHNESS_MS);
   }
 
-  /** Controllers that are known, followed or not. The union: the list of one that is cut off may be old. */
+  /**
+   * All known controllers, followed or not. This is the union of all lists, because the list of a
+   * partitioned controller may be out of date.
+   */
   get known(): readonly KnownController[] {
     const known = new Map<string, KnownController>();
     for (const address of [...this.members, ...this.seeds]) {
@@ -96,7 +100,7 @@
     return [...known.values()];
   }
 
-  /** Open links, those to controllers that tell fresh news in front, nearer ones first. */
+  /** Open links, fresh controllers before others, and within each group in order of preference. */
   get linksByPreference(): readonly DirectoryLink[] {
     const { ownName, ownZone } = this.options;
     const links = rankControllers(this.known, { ownName, ownZone })
@@ -107,7 +111,7 @@
     return [...links.filter(isFresh), ...links.filter((link) => !isFresh(link))];
   }
 
-  /** Replaces followed controllers that are not fresh any more, until stopped. */
+  /** Replaces followed controllers that are no longer fresh, until stopped. */
   async maintainLinks(): Promise<void> {
     const { clock } = this.options.environment;
     const { signal } = this.stopped;
@@ -157,7 +161,7 @@
       : FollowState.Unusable;
   }
 
-  /** Age of what the controller knows; Infinity while it is not followed. Milliseconds. */
+  /** Age of the controller's information; Infinity while it is not followed. Milliseconds. */
   private ageOf({ status }: DirectoryLink, now: number): number {
     return status === undefined ? Infinity : now - status.receivedAt + status.ageMs;
   }
--- a/src/directory/gateway-roster.ts
+++ b/src/directory/gateway-roster.ts
@@ -1,21 +1,21 @@
 /**
- * The gateways of the fleet as one controller knows them: those that follow it,
- * and those that follow others, as these say.
+ * One controller's view of the gateways in the fleet: those that follow it, and those that follow
+ * other controllers, as reported by them.
  */
 import type { Clock } from '../seams/clock.js';
 import { GATEWAY_RETENTION_MS, ROSTER_REFRESH_INTERVAL_MS } from './directory-timing.js';
 import { chooseLeaves, type KnownGateway, type LeafGateway } from './leaf-gateway.js';
 
-/** Where the roster looks. */
+/** What the roster reads its gateways from. */
 export interface GatewayRosterSources {
   readonly clock: Clock;
-  /** Gateways that follow this controller; the last entry of a name counts. */
+  /** Gateways that follow this controller; of several entries with one name the last counts. */
   readonly own: () => Iterable<KnownGateway>;
   /** Gateways that follow other controllers. */
   readonly others: () => readonly KnownGateway[];
 }
 
-/** See the module comment. Looked up again now and then: it is asked for with every frame. */
+/** Refreshed at an interval rather than on each use, because it is read for every frame. */
 export class GatewayRoster {
   private readonly lastSeenAt = new Map<string, number>();
   private chosenLeaves: readonly LeafGateway[] = [];
@@ -28,13 +28,13 @@
     return new Map([...this.sources.own()].map((gateway) => [gateway.name, gateway])).values();
   }
 
-  /** Number of gateways that follow any controller now or did a short while ago. */
+  /** Number of gateways that follow any controller, or did so within {@link GATEWAY_RETENTION_MS}. */
   get count(): number {
     this.refresh();
     return this.lastSeenAt.size;
   }
 
-  /** Gateways that take gathers of others. */
+  /** The leaf gateways, which accept gathers from other gateways. */
   get leaves(): readonly LeafGateway[] {
     this.refresh();
     return this.chosenLeaves;
--- a/src/directory/gateway-routes.ts
+++ b/src/directory/gateway-routes.ts
@@ -1,11 +1,11 @@
-/** How far a gateway is with the route document, as a controller that it follows knows. */
+/** Route document state of a gateway, as known to a controller that the gateway follows. */
 export interface GatewayRoutes {
   readonly gateway: string;
   readonly zone: string;
-  /** In force there when it last spoke; `NO_DOCUMENT` when none was. */
+  /** Document version in force in the gateway at its last confirmation; `NO_DOCUMENT` if none was. */
   readonly version: number;
-  /** For how long it has lacked a newer version that the controller has; undefined when it lacks none. */
+  /** How long the gateway has lacked the controller's newer version; undefined if it lacks none. */
   readonly lackingMs: number | undefined;
-  /** Names of the controllers that are to send it newer versions. */
+  /** Names of the controllers responsible for sending it newer versions. */
   readonly owedBy: readonly string[];
 }
--- a/src/directory/leaf-gateway.ts
+++ b/src/directory/leaf-gateway.ts
@@ -1,33 +1,33 @@
 /**
- * Gateways that ask shards for others. Controllers name a bounded number in each
- * zone, so that few gateways hold connections to a replica, and what gateways are
- * told does not grow with the fleet.
+ * Leaf gateways, which query shards on behalf of other gateways. Controllers choose a bounded number
+ * in each zone, so that few gateways hold connections to a replica and the list that gateways are
+ * sent does not grow with the fleet.
  */
 import { xxh64 } from '@node-rs/xxhash';
 
-/** A gateway as controllers know it. */
+/** A gateway as known to controllers. */
 export interface KnownGateway {
   readonly name: string;
   readonly zone: string;
-  /** Where other gateways reach it, `host:port`; empty when it takes no gathers. */
+  /** `host:port` at which the gateway accepts gathers from other gateways; empty if it accepts none. */
   readonly address: string;
 }
 
-/** One that takes gathers of others: its address is not empty. */
+/** A gateway that accepts gathers from other gateways: its address is not empty. */
 export type LeafGateway = KnownGateway;
 
 /**
- * Most leaves of a zone. A gateway of a third of a core carries some 250 requests
- * to replicas a second at a quarter of its time, so twelve carry 3,000 a zone.
+ * Most leaf gateways in a zone. A gateway with a third of a core serves about 250 requests to
+ * replicas per second with a quarter of its CPU time, so twelve serve 3,000 per second and zone.
  */
 export const MAXIMUM_LEAVES_PER_ZONE = 12;
 
-/** Rank of `candidate` for `subject` by rendezvous hashing: the highest come first. */
+/** Rendezvous hash of `candidate` for `subject`; a higher hash is preferred. */
 export function rendezvousHash(subject: string, candidate: string): bigint {
   return xxh64(`${subject} ${candidate}`);
 }
 
-/** `candidates`, the highest ranked for `subject` first. */
+/** Returns `candidates` ordered by their rendezvous hash for `subject`, highest first. */
 export function rankByRendezvousHash<T>(
   subject: string,
   candidates: readonly T[],
@@ -39,7 +39,10 @@
     .map(({ candidate }) => candidate);
 }
 
-/** At most {@link MAXIMUM_LEAVES_PER_ZONE} of each zone; one that joins or goes changes no other's rank. */
+/**
+ * Chooses at most {@link MAXIMUM_LEAVES_PER_ZONE} gateways in each zone. A gateway that joins or
+ * leaves does not change the order of the others.
+ */
 export function chooseLeaves(gateways: Iterable<KnownGateway>): LeafGateway[] {
   const byZone = new Map<string, LeafGateway[]>();
   for (const gateway of gateways) {
--- a/src/directory/quarantine-messages.ts
+++ b/src/directory/quarantine-messages.ts
@@ -1,4 +1,4 @@
-/** What is known of requests under which replicas end, as messages of the directory stream, and back. */
+/** Conversion between quarantine entries or crash evidence and messages of the directory stream. */
 import type { QuarantineEntry, QuarantineState } from '../quarantine/quarantine-entry.js';
 import {
   joinIds,
@@ -8,7 +8,7 @@
 } from '../quarantine/quarantine-register.js';
 import type { CrashEvidenceMessage, QuarantineMessage } from './directory-messages.js';
 
-/** How an entry of the quarantine is sent. */
+/** Encodes a quarantine entry as a message. */
 export function quarantineMessage(entry: QuarantineEntry): QuarantineMessage {
   const { ended, endedInTrial, ...rest } = entry;
   return {
@@ -19,7 +19,7 @@
   };
 }
 
-/** The entry of a message. */
+/** Decodes a message into a quarantine entry; the state is not validated. */
 export function quarantineEntry(message: QuarantineMessage): QuarantineEntry {
   const { state, trialHolder, revision, fingerprint, description } = message;
   const { ended, endedInTrial } = message;
@@ -34,7 +34,7 @@
   };
 }
 
-/** How what a gateway saw is sent. */
+/** Encodes a gateway's crash evidence as a message. */
 export function crashEvidenceMessage(change: QuarantineChange): CrashEvidenceMessage {
   const { kind, ended, endedInTrial, ...rest } = change;
   return {
@@ -46,7 +46,7 @@
   };
 }
 
-/** The change that a message tells of. */
+/** Decodes a message into a quarantine change; the kind is not validated. */
 export function quarantineChange(message: CrashEvidenceMessage): QuarantineChange {
   const { change, holder, replaces, fingerprint, description, ended, endedInTrial } = message;
   return {
