--- a/src/directory/replica-directory.ts
+++ b/src/directory/replica-directory.ts
@@ -1,6 +1,6 @@
 /**
- * Every replica that has registered, as one process knows it. Reports are joined
- * so that processes which have told each other what they hold hold the same.
+ * One process's view of all registered replicas. Reports are merged so that processes converge to
+ * the same entries once they have exchanged theirs, whatever the order.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
@@ -13,39 +13,39 @@
   type ReplicaEntry,
 } from './replica-entry.js';
 
-/** A replica of which nothing was heard for this long is forgotten. Milliseconds. */
+/** A replica with no report for this long is forgotten. Milliseconds. */
 export const FORGET_AFTER_MS = 120_000;
 
 /**
- * A replica that was read back from a disk is forgotten unless it is heard of
- * within this time, which holds two of its heartbeats. Milliseconds.
+ * A replica restored from a disk is forgotten unless it is reported within this time, which covers
+ * two of its heartbeats. Milliseconds.
  */
 export const RESTORED_RETENTION_MS = 3_000;
 
 /**
- * A life that by its own clock began before the one that is known counts as the later one once
- * nothing was heard of that for this long: three heartbeats and more. Until then it may as well
- * be a late word of an earlier life. Milliseconds.
+ * An incarnation whose own clock dates it before the known one counts as the later one once the
+ * known one has been silent for this long, which is more than three heartbeats. Until then the
+ * report may be a late one from an earlier incarnation. Milliseconds.
  */
 export const INCARNATION_SILENCE_MS = 5_000;
 
-/** Most replicas that are known: several times as many as are expected; so many take 20 MB of heap. */
+/** Most known replicas: several times the expected number, and about 20 MB of heap. */
 const MAXIMUM_ENTRIES = 50_000;
 
 function isRestored({ restored }: ReplicaEntry): boolean {
   return restored === true;
 }
 
-/** Whether the process hears of every heartbeat, or only of changes. */
+/** Whether the process receives every heartbeat, or only changes. */
 export enum DirectoryKind {
   HearsHeartbeats = 'hears_heartbeats',
   HearsChanges = 'hears_changes',
 }
 
 /**
- * How long it is kept without being heard of. One that leaves is remembered for a
- * while, so that a late heartbeat does not bring it back. Who hears only of changes
- * cannot tell a silent replica from one of which nothing changed, and keeps both.
+ * Returns how long a replica is kept without a report. Milliseconds. A replica that leaves is kept
+ * for a while as a tombstone, so that a late heartbeat does not bring it back. A process that
+ * receives only changes cannot tell a silent replica from an unchanged one, and keeps both.
  */
 function retentionMs(kind: DirectoryKind, entry: ReplicaEntry | undefined): number {
   if (entry === undefined || entry.state !== RegisteredState.Ready) return FORGET_AFTER_MS;
@@ -54,8 +54,9 @@
 }
 
 /**
- * Fields that change with each call are of no interest to readers by themselves. The time that
- * a replica stays cold falls with each call; when it rises, the replica has turned cold again.
+ * Whether readers have to receive the entry. Fields that change with each heartbeat do not matter by
+ * themselves: the remaining warm-up time falls with each heartbeat, and only a rise means that the
+ * replica is cold again.
  */
 function isSignificantChange(before: ReplicaEntry | undefined, after: ReplicaEntry): boolean {
   if (before === undefined) return true;
@@ -71,19 +72,19 @@
   );
 }
 
-/** What became of a report that a replica made here itself. */
+/** Result of a report received directly from a replica. */
 export interface DirectReportResult {
-  /** Whether it is of the life that is known now, not of an earlier one. */
+  /** Whether the report is of the current incarnation rather than an earlier one. */
   readonly isCurrent: boolean;
-  /** Whether it was worth telling others. */
+  /** Whether other processes have to receive the change. */
   readonly isNews: boolean;
 }
 
-/** See the module comment. */
+/** Bounded in size; call {@link ReplicaDirectory.forgetSilent} at an interval. */
 export class ReplicaDirectory {
-  /** Emits each entry that became known or changed. */
+  /** Emits each entry that is new or has changed significantly. */
   readonly changes: Stream<ReplicaEntry>;
-  /** Emits the id of each replica that was forgotten. */
+  /** Emits the id of each forgotten replica. */
   readonly forgotten: Stream<string>;
   private readonly entries = new Map<string, ReplicaEntry>();
   private readonly heardAt = new Map<string, number>();
@@ -94,7 +95,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly kind: DirectoryKind,
-    /** Further replicas are not taken up until others are forgotten. */
+    /** Above this number, new replicas are ignored until others are forgotten. */
     private readonly maximumEntries = MAXIMUM_ENTRIES,
   ) {
     this.table = new VersionedTable(maximumEntries);
@@ -115,19 +116,20 @@
     return this.entries.values();
   }
 
+  /** Returns the entries with a change after `position`. */
   changedAfter(position: number): ReplicaEntry[] {
     return this.table.changedAfter(position);
   }
 
-  /** When something was last heard of a replica; -Infinity when it never was. */
+  /** Clock reading of the last report of a replica; -Infinity if there was none. */
   lastHeardAt(replicaId: string): number {
     return this.heardAt.get(replicaId) ?? -Infinity;
   }
 
   /**
-   * Takes in what a replica says here of itself. Unlike {@link ReplicaDirectory.report}, which
-   * joins what others heard, this decides whether a life that began
-   * before the known one by its own clock is the later one all the same.
+   * Applies a report received directly from the replica. Unlike {@link ReplicaDirectory.report},
+   * which merges reports from other processes, this decides whether an incarnation that began
+   * before the known one by its own clock is nevertheless the later one.
    */
   reportDirectly(report: ReplicaEntry): DirectReportResult {
     const known = this.entries.get(report.replicaId);
@@ -144,12 +146,12 @@
     return { isCurrent: true, isNews: this.report({ ...report, generation: generation + 1 }) };
   }
 
-  /** Takes a report in; true when it was worth telling others. */
+  /** Merges a report; returns true if other processes have to receive the change. */
   report(report: ReplicaEntry): boolean {
     const known = this.entries.get(report.replicaId);
     if (known === undefined && this.entries.size >= this.maximumEntries) return false;
     const merged = known === undefined ? report : mergeReports(known, report);
-    // Told again by another controller, a restored replica is not heard of.
+    // A restored entry or a late report of an earlier incarnation is no sign that the replica is alive.
     const isEarlier = known !== undefined && compareIncarnations(report, known) < 0;
     const isHeard = known === undefined || (!isRestored(report) && !isEarlier);
     if (isHeard) this.heardAt.set(report.replicaId, this.clock.now());
@@ -161,7 +163,7 @@
     return true;
   }
 
-  /** The replica says that it has left; known even when it never registered here. */
+  /** Records that the replica has left, also if it never registered here. */
   leave(replicaId: string): void {
     const known = this.entries.get(replicaId);
     const sequence = known === undefined ? 0 : known.sequence + 1;
@@ -170,7 +172,7 @@
     this.report({ ...emptyEntry, ...known, replicaId, sequence, state, restored: false });
   }
 
-  /** Some process heard the replica's heartbeat. */
+  /** Records a heartbeat of the replica that some process has received. */
   noteHeartbeat(replicaId: string): void {
     const known = this.entries.get(replicaId);
     if (known === undefined) return;
@@ -179,8 +181,8 @@
   }
 
   /**
-   * Drops what was not heard of for {@link FORGET_AFTER_MS}, or
-   * {@link RESTORED_RETENTION_MS}, as far as silence means anything here.
+   * Forgets replicas without a report for {@link FORGET_AFTER_MS}, or {@link RESTORED_RETENTION_MS}
+   * for restored ones. A process that receives only changes keeps ready replicas regardless.
    */
   forgetSilent(): void {
     const now = this.clock.now();
--- a/src/directory/replica-entry.ts
+++ b/src/directory/replica-entry.ts
@@ -1,11 +1,11 @@
-/** What a replica says of itself when it registers. */
+/** The entry that a replica registers, and how reports of one replica are ordered and merged. */
 
-/** States of a replica's life; a replica never goes back to an earlier one. */
+/** States of one incarnation of a replica, in order; it never returns to an earlier one. */
 export enum RegisteredState {
   Ready = 'ready',
-  /** Finishes what it has and gets no new work. */
+  /** Finishes its requests and receives no new ones. */
   Draining = 'draining',
-  /** It has left; its address may be given to another replica. */
+  /** Has left; its address may be reused by another replica. */
   Gone = 'gone',
 }
 
@@ -15,43 +15,44 @@
   [RegisteredState.Gone]: 2,
 };
 
-/** One life of a replica: a process of a service from its start to its end. */
+/** One incarnation of a replica: a process of a service from its start to its end. */
 export interface ReplicaEntry {
   readonly replicaId: string;
   readonly service: string;
   /** `host:port` of its HTTP endpoint. */
   readonly address: string;
   readonly zone: string;
-  /** Requests that it works on at once. */
+  /** Requests that the replica processes concurrently. */
   readonly capacity: number;
   readonly state: RegisteredState;
-  /** Grows with each of the replica's calls in this life, so that a late one can be told. */
+  /** Grows with each report of this incarnation, so that a late report is recognized. */
   readonly sequence: number;
-  /** How much longer it is slow from its start, when `sequence` was current. Milliseconds. */
+  /** Remaining time of the slow phase after a start, at the report with `sequence`. Milliseconds. */
   readonly warmupMs: number;
   /**
-   * When the process started, by the clock of its machine, which tells this life from others under
-   * the same id. Unix milliseconds; absent where replicas do not say it.
+   * When the process started, by the clock of its machine; distinguishes incarnations with the same
+   * id. Unix milliseconds; absent if the replica does not report it.
    */
   readonly bornAt?: number;
   /**
-   * Raised by a controller where a life began before the one that is known by its own clock, as
-   * after a clock was set back, so that it counts as the later one everywhere. 0 when absent.
+   * Raised by a controller if a new incarnation began before the known one by its own clock, as after
+   * the clock was set back, so that every process treats it as the later one. 0 when absent.
    */
   readonly generation?: number;
-  /** Read back from a controller's disk after a start, and not heard of since. */
+  /** Restored from a controller's disk after a start, with no report since. */
   readonly restored?: boolean;
 }
 
-/** Whether `text`, as received, names a state. */
+/** Whether `text`, as received, is a state known to this version. */
 export function isRegisteredState(text: string): text is RegisteredState {
   return Object.hasOwn(STATE_ORDER, text);
 }
 
 /**
- * Negative where `left` is of an earlier life than `right`, positive where it is of a later one.
- * A report that does not say when its life began is of the one that it is compared with. The
- * generation does not tell lives apart: who hears that a life leaves may not know that it was raised.
+ * Returns a negative number if `left` is of an earlier incarnation than `right`, a positive number if
+ * it is of a later one, and 0 if they are the same. A report without a start time counts as the same
+ * incarnation as the other one. Entries that differ only in generation are the same incarnation: a
+ * controller that receives the report of its leaving may not know that the generation was raised.
  */
 export function compareIncarnations(left: ReplicaEntry, right: ReplicaEntry): number {
   if (left.bornAt === undefined || right.bornAt === undefined) return 0;
@@ -60,16 +61,16 @@
   return generations === 0 ? left.bornAt - right.bornAt : generations;
 }
 
-/** Names one life of a replica, unlike its id. */
+/** Returns an id that, unlike the replica's id, is unique to one incarnation if its start is known. */
 export function incarnationIdOf({ replicaId, bornAt }: ReplicaEntry): string {
   return bornAt === undefined ? replicaId : `${replicaId}@${bornAt}`;
 }
 
 /**
- * Joins two reports of one replica. A later life takes the place of an
- * earlier one whole. In one life the later state holds, and the rest comes from the report with
- * the higher sequence; an entry stays restored only while all reports of it are. Gives back
- * `known` itself when `report` adds nothing.
+ * Merges two reports of one replica. A later incarnation replaces an earlier one entirely. Within one
+ * incarnation the later state wins and the other fields come from the report with the higher
+ * sequence; an entry stays restored only while all its reports are. Returns `known` itself if
+ * `report` adds nothing.
  */
 export function mergeReports(known: ReplicaEntry, report: ReplicaEntry): ReplicaEntry {
   const order = compareIncarnations(report, known);
--- a/src/directory/replica-messages.ts
+++ b/src/directory/replica-messages.ts
@@ -1,8 +1,11 @@
-/** Entries of replicas as messages of the directory stream, and back. Stored replicas are such messages too. */
+/**
+ * Conversion between replica entries and messages of the directory stream. Stored replicas use the
+ * same messages.
+ */
 import type { ReplicaIncarnationMessage, ReplicaMessage } from './directory-messages.js';
 import { isRegisteredState, type ReplicaEntry } from './replica-entry.js';
 
-/** How an entry is sent and stored. */
+/** Encodes an entry as a message, for sending and for storing. */
 export function replicaMessage(entry: ReplicaEntry): ReplicaMessage | ReplicaIncarnationMessage {
   const { bornAt, generation = 0, ...rest } = entry;
   const fields = { ...rest, restored: entry.restored === true };
@@ -10,7 +13,7 @@
   return { kind: 'replicaLife', ...fields, bornAt, generation };
 }
 
-/** The entry of a message; undefined when it names a state that is not known here. */
+/** Decodes a message into an entry; undefined if its state is unknown to this version. */
 export function replicaEntry(
   message: ReplicaMessage | ReplicaIncarnationMessage,
 ): ReplicaEntry | undefined {
--- a/src/directory/replica-store.ts
+++ b/src/directory/replica-store.ts
@@ -1,9 +1,8 @@
 /**
- * Keeps the replicas that a controller knows on its disk, so that after a loss
- * of all controllers gateways need not wait for every replica's next heartbeat.
- * What is read back counts only until replicas are due to be heard of again.
- * Written behind the directory and never waited for: a disk that fails or hangs
- * delays no registration, and costs what its next start would have gained.
+ * Stores the replicas known to a controller on its disk, so that after a loss of all controllers
+ * gateways need not wait for the next heartbeat of every replica. Restored replicas count only until
+ * their next heartbeats are due. Writes are asynchronous and nothing waits for them: a disk that
+ * fails or hangs delays no registration and only costs the next start its restored replicas.
  */
 import { observe } from '../control-stream/observe.js';
 import type { Logger } from '../observability/logger.js';
@@ -24,16 +23,16 @@
 const FILE = 'replicas';
 /** Changes within this time are written together. */
 const WRITE_INTERVAL_MS = 250;
-/** A replica that was not heard of for so long is no longer stored, unless it leaves. */
+/** A ready replica without a report for this long is no longer stored. */
 const MAXIMUM_STORED_SILENCE_MS = 6_000;
-/** How often those are looked for. */
+/** How often the store checks for silent replicas. */
 const SILENCE_CHECK_INTERVAL_MS = 2_000;
-/** At least so many times as long as it took to encode them passes before they are written again. */
+/** Pause after a write, as a multiple of the time that encoding took. */
 const ENCODING_PAUSE_FACTOR = 40;
-/** Pause after a write that failed. */
+/** Pause after a failed write. */
 const RETRY_INTERVAL_MS = 2_000;
 
-/** What the store works on. */
+/** Dependencies of the store. */
 export interface ReplicaStoreParts {
   readonly disk: Disk;
   readonly clock: Clock;
@@ -43,7 +42,7 @@
   readonly stopped: AbortSignal;
 }
 
-/** Replicas as they were stored; none when nothing can be read back. */
+/** Returns the stored replicas; none if the file is missing or unreadable. */
 async function readStored({ disk, unusable, logger }: ReplicaStoreParts): Promise<ReplicaEntry[]> {
   try {
     const content = await readChecksummedFile(disk, FOLDER, FILE);
@@ -62,7 +61,7 @@
   }
 }
 
-/** Reports what was stored to the directory, as restored. */
+/** Reports the stored replicas to the directory, marked as restored. */
 export async function restoreReplicas(parts: ReplicaStoreParts): Promise<void> {
   const entries = await readStored(parts);
   for (const entry of entries) {
@@ -71,7 +70,7 @@
   if (entries.length > 0) parts.logger.info('replicas restored', { replicas: entries.length });
 }
 
-/** Writes the directory after each change, until stopped. */
+/** Writes the replicas to disk after changes, until stopped. A failed write is logged and retried. */
 export async function storeReplicas(parts: ReplicaStoreParts): Promise<void> {
   const { clock, directory, stopped } = parts;
   let isChanged = false;
@@ -97,7 +96,10 @@
   }
 }
 
-/** A replica that crashed says nothing, and is not to be known again after a start. */
+/**
+ * Returns the replicas to store. A crashed replica sends no report and must not be restored after a
+ * start, so silent replicas are left out; those that leave are kept.
+ */
 function entriesToStore({ clock, directory }: ReplicaStoreParts): readonly ReplicaEntry[] {
   const oldest = clock.now() - MAXIMUM_STORED_SILENCE_MS;
   return [...directory.all()].filter(
--- a/src/directory/route-lag-watch.ts
+++ b/src/directory/route-lag-watch.ts
@@ -1,28 +1,29 @@
 /**
- * Writes a line when gateways that follow this controller lack its route document for longer
- * than an orderly change takes, and when all have caught up.
+ * Logs a warning while gateways that follow this controller lack its route document for longer than
+ * a normal change takes, and logs when all of them have caught up.
  */
 import type { Logger } from '../observability/logger.js';
 import type { Clock } from '../seams/clock.js';
 import type { GatewayRoutes } from './gateway-routes.js';
 
 /**
- * An orderly change is in force sooner, also at a gateway whose near controller is lost, and the
- * stream of a gateway that is gone itself has been closed by then. Milliseconds.
+ * A gateway is late after this time. A normal change is in force sooner, even at a gateway whose
+ * preferred controller is lost, and the stream of a gateway that is down has been closed by then.
+ * Milliseconds.
  */
 const LATE_AFTER_MS = 2_000;
-/** A line that gateways lack it is written at most this often. Milliseconds. */
+/** Minimum interval between warnings. Milliseconds. */
 const WARNING_INTERVAL_MS = 5_000;
-/** Gateways that a line names. */
+/** Most gateways listed in a warning. */
 const MAXIMUM_LISTED_GATEWAYS = 3;
 
-/** What the watch looks at. */
+/** Dependencies of the watch. */
 export interface RouteLagWatchParts {
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Gateways that follow this controller. */
+  /** Route document state of the gateways that follow this controller. */
   readonly gateways: () => readonly GatewayRoutes[];
-  /** Version of the route document here; undefined before the first. */
+  /** Version of this controller's route document; undefined before the first. */
   readonly version: () => number | undefined;
 }
 
@@ -30,14 +31,14 @@
   return lackingMs !== undefined && lackingMs > LATE_AFTER_MS;
 }
 
-/** See the module comment. */
+/** Has no timer of its own: the caller invokes {@link RouteLagWatch.check}. */
 export class RouteLagWatch {
   private isLate = false;
   private lastWarningAt = -Infinity;
 
   constructor(private readonly parts: RouteLagWatchParts) {}
 
-  /** Looks once; call it a few times a second. */
+  /** Checks the gateways once; call it a few times a second. */
   check(): void {
     const late = this.parts.gateways().filter(isLate);
     if (late.length === 0) this.logCaughtUp();
--- a/src/directory/version-confirmer.ts
+++ b/src/directory/version-confirmer.ts
@@ -1,32 +1,33 @@
 /**
- * Confirms to gateways which version of the route document is in force. An answer follows a read
- * barrier that began after the question came: what a controller believes by itself may be older
- * than what others have acknowledged. Questions of many gateways share a barrier, and barriers
+ * Confirms to gateways which version of the route document is in force. Each response follows a read
+ * barrier that began after the request arrived, because a controller's own state may be older than
+ * what other controllers have acknowledged. Requests of many gateways share a barrier, and barriers
  * begin at a bounded rate, so that a thousand gateways cost the leader little.
  */
 import { Counter, type Registry } from 'prom-client';
 import type { Clock } from '../seams/clock.js';
 import { NO_DOCUMENT, type VersionConfirmedMessage } from './directory-messages.js';
 
-/** Barriers begin at least so far apart. Milliseconds. */
+/** Minimum interval between the starts of two barriers. Milliseconds. */
 export const CONFIRMATION_INTERVAL_MS = 50;
 
-/** What answers are made of. */
+/** Dependencies of the confirmer. */
 export interface VersionConfirmerParts {
   readonly clock: Clock;
+  /** Resolves to false if no quorum confirmed the barrier in time. */
   readonly barrier: { pass(): Promise<boolean> };
-  /** Of the route document here; undefined before the first. */
+  /** Version of this controller's route document; undefined before the first. */
   readonly version: () => number | undefined;
   readonly registry: Registry;
 }
 
-/** A question that waits for a barrier. */
+/** A request that waits for a barrier. */
 interface PendingRequest {
   readonly number: number;
   readonly answer: (message: VersionConfirmedMessage) => void;
 }
 
-/** See the module comment. */
+/** Registers its counter when constructed. */
 export class VersionConfirmer {
   private readonly confirmations: Counter<'result'>;
   private pending: PendingRequest[] = [];
@@ -36,13 +37,13 @@
   constructor(private readonly parts: VersionConfirmerParts) {
     this.confirmations = new Counter({
       name: 'driftway_controller_version_confirmations_total',
-      help: 'Questions of gateways for the version of the route document in force; unproven: no quorum confirmed in time.',
+      help: 'Requests of gateways to confirm the version of the route document in force; unproven: no quorum confirmed it in time.',
       labelNames: ['result'],
       registers: [parts.registry],
     });
   }
 
-  /** Calls `answer` once it is proven which version is in force; never when that fails. */
+  /** Calls `answer` once a barrier has proven which version is in force; never if the barrier fails. */
   requestConfirmation(number: number, answer: (message: VersionConfirmedMessage) => void): void {
     this.pending.push({ number, answer });
     if (this.isScheduled) return;
--- a/src/membership/held-snapshots.ts
+++ b/src/membership/held-snapshots.ts
@@ -1,12 +1,12 @@
-/** The snapshots one replica is believed to hold, from its reports and its replies. */
+/** Tracks which snapshots a replica holds, from its reports and its replies. */
 
 /**
- * How long a replica's own "not held" outweighs a report that says "held":
- * reports lag, a reply does not. Milliseconds.
+ * How long a reply "not held" takes precedence over a report that lists the snapshot: reports lag
+ * behind, replies do not. Milliseconds.
  */
 const DENIAL_LIFETIME_MS = 1_000;
 
-/** Snapshots in the form `epoch.version`. */
+/** Snapshots have the form `epoch.version`. */
 export class HeldSnapshots {
   private held = new Set<string>();
   private readonly denials = new Map<string, number>();
@@ -19,7 +19,7 @@
     return this.held;
   }
 
-  /** Takes a report over; true when the belief changed. */
+  /** Replaces the held snapshots by those of a report; returns true if they changed. */
   replace(reported: readonly string[], now: number): boolean {
     this.forgetOldDenials(now);
     const next = new Set(reported.filter((snapshot) => !this.denials.has(snapshot)));
@@ -29,7 +29,7 @@
     return !isUnchanged;
   }
 
-  /** An answer was drawn from `snapshot`; true when the belief changed. */
+  /** Records an answer read from `snapshot`; returns true if the held snapshots changed. */
   confirm(snapshot: string): boolean {
     this.denials.delete(snapshot);
     if (this.held.has(snapshot)) return false;
@@ -37,7 +37,7 @@
     return true;
   }
 
-  /** The replica said it does not hold `snapshot`; true when the belief changed. */
+  /** Records a reply that `snapshot` is not held; returns true if the held snapshots changed. */
   deny(snapshot: string, now: number): boolean {
     this.denials.set(snapshot, now + DENIAL_LIFETIME_MS);
     return this.held.delete(snapshot);
--- a/src/membership/replica-channel.ts
+++ b/src/membership/replica-channel.ts
@@ -1,7 +1,7 @@
 /**
- * The connections of this router to one replica. Requests that must not meet a
- * stale keep-alive connection have connections of their own, so that each kind
- * stays within its part of the replica's limit.
+ * A router's connections to one replica. Requests that must not be sent over a stale keep-alive
+ * connection use separate connections, so that each kind stays within its share of the replica's
+ * limit.
  */
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import { parseAddress } from '../seams/address.js';
@@ -9,29 +9,29 @@
 import type { Network } from '../seams/network.js';
 
 /**
- * Routers that may serve one replica at once. Each takes this share of the
- * replica's connections, since a router does not know how many others there are.
+ * Routers that may send requests to one replica at once. Each uses one such part of the replica's
+ * connections, since a router does not know how many other routers there are.
  */
 export const ROUTERS_PER_REPLICA = 4;
 
 /**
- * Longest time to open a connection to a replica, which usually takes about a
- * millisecond; a machine lost in silence costs an attempt this much. See "Time
- * allowed to connect" in docs/RESULTS.md. Milliseconds.
+ * Longest time to open a connection to a replica, which usually takes about a millisecond. An attempt
+ * at a machine that no longer answers takes this long to fail. See "Time allowed to connect" in
+ * docs/RESULTS.md. Milliseconds.
  */
 const CONNECT_TIMEOUT_MS = 250;
-/** Idle connections are closed after this time, below the usual 5 s of servers. Milliseconds. */
+/** Idle connections are closed after this time, before servers close them, usually at 5 s. Milliseconds. */
 const KEEP_ALIVE_TIMEOUT_MS = 4_000;
 
-/** How one router divides its share of a replica's connections. */
+/** How a router divides its share of a replica's connections. */
 export interface ConnectionShare {
-  /** Kept alive; carry repeatable requests and, one of them, the report. */
+  /** Keep-alive connections for repeatable requests; one of them is for the report. */
   readonly kept: number;
-  /** Opened for one not repeatable request each. */
+  /** Connections that are each opened for one non-repeatable request. */
   readonly fresh: number;
 }
 
-/** The share of a replica that accepts `connections` in all; at least one of each kind. */
+/** Returns a router's share of the `connections` that a replica accepts; at least one of each kind. */
 export function connectionShare(connections: number): ConnectionShare {
   const share = Math.max(2, Math.floor(connections / ROUTERS_PER_REPLICA));
   const fresh = Math.floor(share / 2);
@@ -65,21 +65,21 @@
   }
 
   /**
-   * Most attempts in flight. No more than the replica has slots: a further one
-   * would wait at the replica, where no sibling can take it. One kept
-   * connection is left to the report where there are two.
+   * Most attempts in flight. No more than the replica's slots: a further attempt would wait at the
+   * replica, where no other replica can take it over. If there are at least two keep-alive
+   * connections, one is left for the report.
    */
   get capacity(): number {
     return Math.max(1, Math.min(this.slots, this.share.kept - 1, this.share.fresh));
   }
 
-  /** @throws HttpClientError as the client does. */
+  /** @throws HttpClientError if the HTTP client fails. */
   send(request: HttpClientRequest): Promise<HttpClientResponse> {
     const client = request.freshConnection === true ? this.freshClient : this.keepAliveClient;
     return client.request(request);
   }
 
-  /** Closes idle connections now and the others as they finish. */
+  /** Closes idle connections now and busy ones when their requests finish. */
   async close(): Promise<void> {
     await Promise.all([this.keepAliveClient.close(), this.freshClient.close()]);
   }
--- a/src/membership/replica-poller.ts
+++ b/src/membership/replica-poller.ts
@@ -1,30 +1,30 @@
-/** One replica's task: reads its report about twice a second until stopped. */
+/** Polls the report of one replica about twice a second, until stopped. */
 import { BACKEND_REPORT_PATH, type BackendReport } from '../model/backend-protocol.js';
 import type { Clock } from '../seams/clock.js';
 import type { RandomSource } from '../seams/random-source.js';
 import { readReport } from './report-reader.js';
 import type { ReplicaRecord } from './replica-record.js';
 
-/** Mean time between two reports. Milliseconds. */
+/** Mean interval between two polls. Milliseconds. */
 export const REPORT_INTERVAL_MS = 500;
-/** Each wait differs from the mean by up to this part, so that routers do not poll in step. */
+/** Each interval differs from the mean by up to this fraction, so that routers do not poll in step. */
 const REPORT_JITTER_FRACTION = 0.2;
 /**
- * A report that takes longer counts as missed. Short enough that the third miss
- * in a row comes within 3 s of the first. Milliseconds.
+ * A report that takes longer counts as missed. Short enough that the third consecutive miss comes
+ * within 3 s of the first. Milliseconds.
  */
 export const REPORT_TIMEOUT_MS = 800;
 
-/** Where reports go. */
+/** Receives reports and missed reports. */
 export interface ReportSink {
   onReport(record: ReplicaRecord, report: BackendReport): void;
   onMissedReport(record: ReplicaRecord): void;
 }
 
-/** Polls one replica. */
+/** One poller per replica; start it with {@link ReplicaPoller.run}. */
 export class ReplicaPoller {
   private readonly stopped = new AbortController();
-  /** Resolves once the first report arrived or was missed. */
+  /** Resolves once the first report has arrived or was missed, or the poller is stopped. */
   readonly firstPoll: Promise<void>;
   private resolveFirstPoll: () => void = () => undefined;
 
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -1,4 +1,4 @@
-/** All that this router knows of one replica. */
+/** What a router knows about one replica. */
 import type { BackendReport } from '../model/backend-protocol.js';
 import { supersedes, type ReplicaSign } from '../model/replica-sign.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
@@ -9,12 +9,14 @@
 import type { ReplicaChannel } from './replica-channel.js';
 import { SmoothedValue } from './smoothed-value.js';
 
+/** Weight of a new sample in the average latency, 0 to 1. */
 const LATENCY_WEIGHT = 0.2;
+/** Weight of a new attempt in the failure rate, 0 to 1. */
 const FAILURE_WEIGHT = 0.1;
-/** Reports missed in a row before a replica is tried only as a last resort. */
+/** Consecutive missed reports after which a replica is used only as a last resort. */
 export const SUSPECT_AFTER_MISSED_REPORTS = 3;
 
-/** One replica in one router. Methods that may change what can be sent to it say whether they did. */
+/** Methods that return a boolean return whether the requests that may be sent to the replica changed. */
 export class ReplicaRecord implements ReplicaView {
   private attemptsInFlight = 0;
   private readonly roomWaiters = new Set<() => void>();
@@ -61,17 +63,17 @@
     return this.livenessReport;
   }
 
-  /** The process that answers now, as far as is known. */
+  /** The last known process of the replica. */
   get process(): ReplicaProcess {
     return { replicaId: this.replica.replicaId, incarnation: this.livenessReport?.incarnation };
   }
 
-  /** False once any sign of this incarnation said it is draining or gone. */
+  /** False once a liveness report of this incarnation says that it is draining or gone. */
   get isLive(): boolean {
     return this.livenessReport === undefined || this.livenessReport.state === 'live';
   }
 
-  /** True while its reports do not arrive; one missed report is not enough. */
+  /** True while reports do not arrive; one missed report is not enough. */
   get isSuspect(): boolean {
     return this.missedReports >= SUSPECT_AFTER_MISSED_REPORTS;
   }
@@ -92,14 +94,17 @@
     this.attemptsInFlight += 1;
   }
 
-  /** Frees the attempt's connection and wakes the first that waits for one. */
+  /** Frees the attempt's connection and wakes the first waiter. */
   endAttempt(): void {
     this.attemptsInFlight -= 1;
     const [first] = this.roomWaiters;
     if (first !== undefined) first();
   }
 
-  /** Calls `wake` when an attempt ends or what may be sent here has changed, until {@link unregisterRoomWaiter}. */
+  /**
+   * Calls `wake` when an attempt ends or the requests that may be sent to the replica change, until
+   * {@link unregisterRoomWaiter}.
+   */
   registerRoomWaiter(wake: () => void): void {
     this.roomWaiters.add(wake);
   }
@@ -108,7 +113,7 @@
     this.roomWaiters.delete(wake);
   }
 
-  /** Takes a sign over unless something newer is known; true when it was news. */
+  /** Applies a liveness report unless a newer one is known; returns true if it was applied. */
   applyLivenessReport(report: ReplicaSign): boolean {
     const known = this.livenessReport;
     if (known !== undefined && !supersedes(report, known)) return false;
@@ -118,7 +123,7 @@
     return true;
   }
 
-  /** Takes a report over, unless it is of an earlier incarnation than the one known. */
+  /** Applies a report, unless it is of an earlier incarnation than the known one. */
   applyReport(report: BackendReport): boolean {
     const wasSuspect = this.isSuspect;
     this.missedReports = 0;
@@ -130,7 +135,7 @@
     return isNews || wasSuspect;
   }
 
-  /** A report did not arrive; true when the replica became suspect by it. */
+  /** Records a missed report; returns true if it makes the replica suspect. */
   recordMissedReport(): boolean {
     this.missedReports += 1;
     if (this.missedReports !== SUSPECT_AFTER_MISSED_REPORTS) return false;
@@ -149,8 +154,8 @@
   }
 
   /**
-   * An attempt was given up after `elapsed` milliseconds. That is a lower bound
-   * of its latency, so it tells something only where it exceeds what is known.
+   * Records an attempt that was abandoned after `elapsed` milliseconds. This is a lower bound of its
+   * latency, so it counts only if it exceeds the average.
    */
   recordUnfinished(elapsed: number): void {
     if (elapsed > (this.latency.value ?? 0)) this.latency.add(elapsed);
@@ -166,7 +171,7 @@
     return isNews;
   }
 
-  /** What may be sent to it has changed, so everyone who waits for it looks again. */
+  /** Wakes all waiters, since the requests that may be sent to the replica have changed. */
   private wakeRoomWaiters(): void {
     for (const wake of [...this.roomWaiters]) wake();
   }
--- a/src/membership/replica-registry.ts
+++ b/src/membership/replica-registry.ts
@@ -1,6 +1,6 @@
 /**
- * Every replica of the configuration with what is known of it. Joins what
- * reports, replies, other routers and the platform list say, by incarnation.
+ * All replicas of the configuration with their state. Merges reports, replies, and liveness reports
+ * from other routers and the platform list, by incarnation.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
@@ -14,12 +14,12 @@
 import { ReplicaPoller, type ReportSink } from './replica-poller.js';
 import { ReplicaRecord } from './replica-record.js';
 
-/** Signs kept of replicas that the configuration does not name. */
+/** Most liveness reports kept for replicas that are not in the configuration. */
 const MAXIMUM_UNCONFIGURED_REPORTS = 10_000;
 
-/** What the registry needs besides the seams. */
+/** Settings and dependencies besides the environment. */
 export interface RegistryOptions {
-  /** Name of this daemon, for the signs it gives. */
+  /** Name of this daemon, which its liveness reports carry as their observer. */
   readonly observer: string;
   /** Largest reply body. Bytes. */
   readonly maximumReplyBytes: number;
@@ -33,22 +33,22 @@
   readonly task: Promise<void>;
 }
 
-/** What a back end's reply said about the replica itself. */
+/** What a reply states about the replica that sent it. */
 export interface ReplyMark {
   readonly incarnation: number;
   readonly draining: boolean;
   readonly load: number | undefined;
 }
 
-/** The replicas of one router. */
+/** Runs a poller for each replica; call {@link ReplicaRegistry.stop} to end them. */
 export class ReplicaRegistry implements ReportSink {
-  /** Grows whenever what may be sent where has changed; caches of plans compare it. */
+  /** Grows whenever the replicas that may receive requests change; plan caches compare it. */
   generation = 0;
-  /** Signs first seen here, to be told to others. */
+  /** Emits liveness reports first observed by this router, to be sent to others. */
   readonly ownLivenessReports: Stream<ReplicaSign>;
   private readonly emitLivenessReport: (sign: ReplicaSign) => void;
   private readonly entries = new Map<string, Entry>();
-  /** Newest sign of each replica that is not in the configuration, yet or any more. */
+  /** Newest liveness report of each replica that is not, or no longer, in the configuration. */
   private readonly unconfiguredReports = new Map<string, ReplicaSign>();
 
   constructor(
@@ -62,7 +62,7 @@
     return this.entries.get(replicaId)?.record;
   }
 
-  /** Makes the registry hold exactly `definitions`; known replicas keep their history. */
+  /** Makes the registry contain exactly `definitions`; replicas with an unchanged endpoint keep their state. */
   synchronize(definitions: ReadonlyMap<string, ReplicaDefinition>): void {
     for (const replicaId of [...this.entries.keys()]) {
       if (!definitions.has(replicaId)) this.remove(replicaId);
@@ -71,17 +71,17 @@
     this.generation += 1;
   }
 
-  /** Resolves once every replica known now has been asked for its report once. */
+  /** Resolves once every currently known replica has been polled once. */
   async firstReports(): Promise<void> {
     await Promise.all([...this.entries.values()].map(({ poller }) => poller.firstPoll));
   }
 
-  /** Whether `record` may get new work. */
+  /** Whether new requests may be sent to the replica. */
   mayReceive(record: ReplicaRecord): boolean {
     return record.isLive || this.options.faults.ignoreDrain;
   }
 
-  /** Joins a sign from another daemon or the platform list. */
+  /** Applies a liveness report from another daemon or the platform list; returns true if it was newer. */
   applyLivenessReport(report: ReplicaSign): boolean {
     const record = this.get(report.replicaId);
     if (record === undefined) this.keepUnconfiguredReport(report);
@@ -106,7 +106,7 @@
     this.options.logger.warn('replica does not report', { replicaId });
   }
 
-  /** Joins what a verified reply said of its sender. */
+  /** Applies what a verified reply states about its sender. */
   onReplyMark(record: ReplicaRecord, mark: ReplyMark): void {
     this.applyOwnObservation(record, mark.incarnation, mark.draining);
     if (mark.load !== undefined) record.recordLoad(mark.load);
@@ -120,7 +120,7 @@
     if (record.recordSnapshotNotHeld(snapshot)) this.generation += 1;
   }
 
-  /** Ends all polls and closes all connections politely. */
+  /** Stops all pollers and closes all connections once their requests have finished. */
   async stop(): Promise<void> {
     const entries = [...this.entries.values()];
     this.entries.clear();
--- a/src/membership/report-reader.ts
+++ b/src/membership/report-reader.ts
@@ -1,9 +1,9 @@
-/** Reads a back end's report; it comes over the network and may be anything. */
+/** Parses and validates the report of a back end, which is untrusted network input. */
 import * as z from 'zod';
 import type { BackendReport } from '../model/backend-protocol.js';
 import { parseSnapshot } from '../model/snapshot.js';
 
-/** Far more versions than a replica keeps; bounds memory. */
+/** Far more snapshots than a replica holds; bounds memory. */
 const MAXIMUM_SNAPSHOTS = 256;
 
 const reportSchema = z.object({
@@ -16,7 +16,7 @@
     .max(MAXIMUM_SNAPSHOTS),
 });
 
-/** The report, or undefined when `body` is not one. */
+/** Returns the report; undefined if `body` is not a valid one. */
 export function readReport(body: Uint8Array): BackendReport | undefined {
   try {
     return reportSchema.parse(JSON.parse(Buffer.from(body).toString('utf8')));
--- a/src/membership/smoothed-value.ts
+++ b/src/membership/smoothed-value.ts
@@ -1,6 +1,6 @@
 /** An exponentially weighted moving average. */
 
-/** Average in which each new sample has the weight `weight`, 0 to 1. */
+/** Each new sample has the weight `weight`, 0 to 1. */
 export class SmoothedValue {
   private average: number | undefined;
 
--- a/src/membership/wait-for-room.ts
+++ b/src/membership/wait-for-room.ts
@@ -2,8 +2,8 @@
 import type { ReplicaRecord } from './replica-record.js';
 
 /**
- * Resolves when an attempt at any of `records` ended, what may be sent to one
- * of them has changed, or `signal` aborted. Ask again afterwards.
+ * Resolves when an attempt at any of `records` ends, the requests that may be sent to one of them
+ * change, or `signal` aborts. The caller has to check for a free connection again afterwards.
  */
 export function waitForRoom(records: readonly ReplicaRecord[], signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
