--- a/src/directory/directory-server.ts
+++ b/src/directory/directory-server.ts
@@ -114,7 +114,7 @@
   /** Records a heartbeat that a replica sent to this controller, for the next frame to the others. */
   noteHeartbeat(replicaId: string): void {
     for (const session of this.sessions) {
-      if (session.kind === SubscriberKind.Controller) session.heard.add(replicaId);
+      if (session.kind === SubscriberKind.Controller) session.pendingHeartbeats.add(replicaId);
     }
   }
 
--- a/src/directory/directory-session.ts
+++ b/src/directory/directory-session.ts
@@ -50,7 +50,7 @@
   /** Position up to which all gateways that follow the subscriber, a controller, have applied everything. */
   relayedPosition = -1;
   /** Ids of replicas with a heartbeat since the last frame; sent to controllers only. */
-  readonly heard = new Set<string>();
+  readonly pendingHeartbeats = new Set<string>();
   /** Version of the route document that the subscriber last reported to be in force. */
   confirmedDocumentVersion = NO_DOCUMENT;
   private documentVersion = NO_DOCUMENT;
@@ -88,8 +88,8 @@
     for (const entry of sources.directory.changedAfter(this.position)) {
       messages.push(replicaMessage(entry));
     }
-    for (const replicaId of this.heard) messages.push({ kind: 'heard', replicaId });
-    this.heard.clear();
+    for (const replicaId of this.pendingHeartbeats) messages.push({ kind: 'heard', replicaId });
+    this.pendingHeartbeats.clear();
     this.position = sources.directory.position;
     return messages;
   }
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -16,7 +16,7 @@
 /** Consecutive missed reports after which a replica is used only as a last resort. */
 export const SUSPECT_AFTER_MISSED_REPORTS = 3;
 
-/** Methods that return a boolean return whether the requests that may be sent to the replica changed. */
+/** Methods that record something return whether the requests that may be sent to the replica changed. */
 export class ReplicaRecord implements ReplicaView {
   private attemptsInFlight = 0;
   private readonly roomWaiters = new Set<() => void>();
--- a/test/directory/controller-choice.test.ts
+++ b/test/directory/controller-choice.test.ts
@@ -15,8 +15,8 @@
   return chooseControllers(CONTROLLERS, OPTIONS, (address) => states[address] ?? fallback);
 }
 
-describe('the controllers that a gateway follows', () => {
-  it('are those of its zone first, then others that differ by gateway', () => {
+describe('choice of controllers for a gateway', () => {
+  it('prefers controllers of the gateway zone, then others that differ between gateways', () => {
     const ranked = rankControllers(CONTROLLERS, OPTIONS);
     expect(ranked.slice(0, 2).map(({ zone }) => zone)).toEqual(['b', 'b']);
     const next = Array.from(
@@ -26,17 +26,17 @@
     expect(new Set(next).size).toBe(4);
   });
 
-  it('are all while none is fresh', () => {
+  it('chooses all controllers while none is fresh', () => {
     expect(choose({}, FollowState.Pending)).toHaveLength(CONTROLLERS.length);
     expect(choose({}, FollowState.Unusable)).toHaveLength(CONTROLLERS.length);
   });
 
-  it('are as many as asked for when they are fresh', () => {
+  it('chooses the requested number of controllers when all are fresh', () => {
     const [first, second] = rankControllers(CONTROLLERS, OPTIONS);
     expect(choose({}, FollowState.Fresh)).toEqual([first?.address, second?.address]);
   });
 
-  it('are joined by the next one when one is unusable, and only by that one', () => {
+  it('adds just the next controller when one is unusable', () => {
     const [first, second, third, fourth] = rankControllers(CONTROLLERS, OPTIONS).map(
       ({ address }) => address,
     );
--- a/test/directory/controller-roster.test.ts
+++ b/test/directory/controller-roster.test.ts
@@ -2,7 +2,7 @@
 import { ControllerRoster } from '../../src/directory/controller-roster.js';
 import type { KnownGateway } from '../../src/directory/leaf-gateway.js';
 
-/** Controllers c1 to c3, one in each zone z1 to z3, as c1 sees them. */
+/** The controllers c1 to c3, one in each of the zones z1 to z3, from the point of view of c1. */
 class Group {
   connected = ['c2', 'c3'];
   members = ['c1', 'c2', 'c3'];
@@ -27,13 +27,13 @@
 }
 
 describe('ControllerRoster', () => {
-  it('is first for gateways of its own zone, not for those of others that are connected', () => {
+  it('is preferred by gateways of its own zone, not by those of zones with a connected controller', () => {
     const { roster } = new Group();
     expect(roster.isPreferredFor(gatewayIn('z1'))).toBe(true);
     expect(roster.isPreferredFor(gatewayIn('z2'))).toBe(false);
   });
 
-  it('is first for some gateways of a zone whose controller is lost, and knows who owed them', () => {
+  it('is preferred by some gateways of a zone whose controller is lost, and still names that controller as responsible', () => {
     const group = new Group();
     group.connected = ['c3'];
     const names = Array.from({ length: 40 }, (_name, index) => `gateway-${index}`);
@@ -43,14 +43,14 @@
     expect(group.roster.responsibleFor('z2')).toEqual(['c2']);
   });
 
-  it('stands in where a zone has no controller', () => {
+  it('is preferred by and responsible for gateways of a zone without a controller', () => {
     const group = new Group();
     group.connected = [];
     expect(group.roster.isPreferredFor(gatewayIn('z9'))).toBe(true);
     expect(group.roster.responsibleFor('z9')).toEqual(['c1']);
   });
 
-  it('forgets the zones of controllers that have gone', () => {
+  it('forgets the zones of controllers that have left the group', () => {
     const group = new Group();
     group.members = ['c1', 'c3'];
     group.connected = ['c3'];
--- a/test/directory/directory-link.test.ts
+++ b/test/directory/directory-link.test.ts
@@ -1,12 +1,12 @@
 import { expect, it } from 'vitest';
 import { GatewayHarness } from '../gateway/gateway-harness.js';
 
-/** Between the gateway's start and the return of the controllers' power. */
+/** Time between the start of the gateway and the restart of the controllers. */
 const POWER_DELAY_MS = 300;
-/** In which a gateway finds a controller that has just come back. */
+/** Longest time in which a gateway connects to controllers that have just restarted. */
 const REDISCOVERY_MS = 350;
 
-it('finds controllers soon whose machines had no power when the gateway started', async () => {
+it('a gateway that started before its controllers connects to them soon after they start', async () => {
   const harness = await GatewayHarness.start();
   await harness.putRoutes([{ pathPrefix: '/ledger/', service: 'ledger' }]);
   harness.losePower();
--- a/test/directory/directory-session.test.ts
+++ b/test/directory/directory-session.test.ts
@@ -18,9 +18,9 @@
   readonly sources: DirectorySessionSources;
   readonly session: DirectorySession;
   readonly history: VersionHistory;
-  /** Version of the document at the controller. */
+  /** Version of the controller's document. */
   version: number;
-  /** Whether the gateway follows this controller before others. */
+  /** Whether the controller is the gateway's preferred one. */
   isPreferred: boolean;
 }
 
@@ -48,7 +48,7 @@
   return Object.assign(parts, { sources, session });
 }
 
-/** The controller accepts the next version now. */
+/** Makes the controller accept the next version now. */
 function acceptNextVersion(parts: Parts): void {
   parts.version += 1;
   parts.history.record(parts.version, parts.sources.clock.now());
@@ -59,8 +59,8 @@
   return updates.flatMap((message) => (message.kind === 'document' ? [message.version] : []));
 }
 
-describe('a route document', () => {
-  it('is sent at once to a gateway of the zone', () => {
+describe('route documents of a directory session', () => {
+  it('sends a document at once, and once only, to a gateway of its own zone', () => {
     const parts = createParts('a');
     parts.session.confirmedDocumentVersion = 1;
     acceptNextVersion(parts);
@@ -68,11 +68,11 @@
     expect(takeSentVersions(parts)).toEqual([]);
   });
 
-  it('is sent at once to a gateway of another zone that has none', () => {
+  it('sends a document at once to a gateway of another zone that has none', () => {
     expect(takeSentVersions(createParts('b'))).toEqual([1]);
   });
 
-  it('is not sent to a gateway of another zone that gets it elsewhere', async () => {
+  it('sends no document to a gateway of another zone that receives it from another controller', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
     acceptNextVersion(parts);
@@ -82,7 +82,7 @@
     expect(takeSentVersions(parts)).toEqual([]);
   });
 
-  it('is sent to a gateway of another zone that does not get it elsewhere', async () => {
+  it('sends a document after a delay to a gateway of another zone that does not receive it from another controller', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
     acceptNextVersion(parts);
@@ -91,7 +91,7 @@
     expect(takeSentVersions(parts)).toEqual([2]);
   });
 
-  it('is sent to a gateway of another zone in time also while newer ones follow', async () => {
+  it('sends a document to a gateway of another zone after the same delay while newer versions follow', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
     const pause = FALLBACK_DOCUMENT_DELAY_MS / 20;
@@ -103,7 +103,7 @@
     expect(takeSentVersions(parts)).toEqual([parts.version]);
   });
 
-  it('is left to the controller of the zone that delivers each a little later', async () => {
+  it('sends no document to a gateway of another zone that confirms each version within the delay', async () => {
     const parts = createParts('b');
     for (let count = 0; count < 200; count += 1) {
       parts.session.confirmedDocumentVersion = parts.version;
@@ -113,7 +113,7 @@
     }
   });
 
-  it('is not sent to controllers, which have it from the replicated log', async () => {
+  it('sends no document to controllers, which read it from the replicated log', async () => {
     const parts = createParts('a', SubscriberKind.Controller);
     acceptNextVersion(parts);
     await parts.simulation.runFor(FALLBACK_DOCUMENT_DELAY_MS + 1);
@@ -121,7 +121,7 @@
     expect(parts.session.documentDueInMs(parts.sources)).toBe(Infinity);
   });
 
-  it('is sent at once to a gateway of another zone that follows no other first', async () => {
+  it('sends a document at once to a gateway of another zone that prefers this controller', async () => {
     const parts = createParts('b');
     expect(takeSentVersions(parts)).toEqual([1]);
     parts.session.confirmedDocumentVersion = 1;
@@ -131,21 +131,21 @@
     expect(takeSentVersions(parts)).toEqual([2]);
   });
 
-  it('is sent over zones a few times a second at most, always the newest', async () => {
+  it('limits the rate of documents to another zone and always sends the newest', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
     parts.isPreferred = true;
-    const told: number[] = [];
+    const sent: number[] = [];
     const pause = CROSS_ZONE_DOCUMENT_INTERVAL_MS / 25;
     for (let count = 0; count < 100; count += 1) {
       acceptNextVersion(parts);
-      told.push(...takeSentVersions(parts));
+      sent.push(...takeSentVersions(parts));
       await parts.simulation.runFor(pause);
     }
-    expect(told).toEqual([2, 27, 52, 77]);
+    expect(sent).toEqual([2, 27, 52, 77]);
   });
 
-  it('is due at a known time when a gateway of another zone lacks it', async () => {
+  it('knows when a document is due to a gateway of another zone', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
     expect(parts.session.documentDueInMs(parts.sources)).toBe(Infinity);
--- a/test/directory/leaf-gateway.test.ts
+++ b/test/directory/leaf-gateway.test.ts
@@ -16,26 +16,26 @@
   return gateways.map(({ name }) => name).sort();
 }
 
-describe('the gateways that take gathers of others', () => {
-  it('are a bounded number of each zone', () => {
+describe('choice of leaf gateways', () => {
+  it('chooses a bounded number of gateways in each zone', () => {
     const leaves = chooseLeaves([...gatewaysOf('a', 100), ...gatewaysOf('b', 3)]);
     expect(leaves.filter(({ zone }) => zone === 'a')).toHaveLength(MAXIMUM_LEAVES_PER_ZONE);
     expect(leaves.filter(({ zone }) => zone === 'b')).toHaveLength(3);
   });
 
-  it('are the same in whatever order the gateways are known', () => {
+  it('does not depend on the order of the gateways', () => {
     const gateways = gatewaysOf('a', 40);
     expect(namesOf(chooseLeaves([...gateways].reverse()))).toEqual(namesOf(chooseLeaves(gateways)));
   });
 
-  it('change by one when one of them goes', () => {
+  it('replaces just one leaf gateway when one leaves', () => {
     const gateways = gatewaysOf('a', 40);
     const before = namesOf(chooseLeaves(gateways));
     const after = namesOf(chooseLeaves(gateways.filter(({ name }) => name !== before[0])));
     expect(after.filter((name) => !before.includes(name))).toHaveLength(1);
   });
 
-  it('do not hold one that has no address for it', () => {
+  it('leaves out gateways without an address for gathers', () => {
     expect(chooseLeaves([{ name: 'a', zone: 'a', address: '' }])).toEqual([]);
   });
 });
--- a/test/directory/replica-directory.test.ts
+++ b/test/directory/replica-directory.test.ts
@@ -27,7 +27,7 @@
 const { clock } = simulation.createMachine('controller', 'a').environment;
 
 describe('ReplicaDirectory', () => {
-  it('never lets a late heartbeat bring back a replica that has left', () => {
+  it('keeps a replica that has left gone when a late heartbeat arrives', () => {
     const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
     directory.report(entry({ sequence: 4 }));
     directory.leave('i-1');
@@ -35,14 +35,14 @@
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
   });
 
-  it('knows that a replica left also when it never registered here', () => {
+  it('records the leaving of a replica that never registered here', () => {
     const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
     directory.leave('i-1');
     directory.report(entry());
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
   });
 
-  it('holds the same whatever the order in which reports come', () => {
+  it('reaches the same entry whatever the order of the reports', () => {
     const reports = fc.array(
       fc.record({
         sequence: fc.integer({ min: 1, max: 5 }),
@@ -65,7 +65,7 @@
     );
   });
 
-  it('tells readers of changes, not of each heartbeat', () => {
+  it('returns changes to readers, but not each heartbeat', () => {
     const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
     directory.report(entry());
     const { position } = directory;
@@ -75,7 +75,7 @@
     expect(directory.changedAfter(position)).toHaveLength(1);
   });
 
-  it('forgets what was not heard of for long', async () => {
+  it('forgets a replica after a long time without a report', async () => {
     const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
     directory.report(entry());
     directory.report(entry({ replicaId: 'i-2' }));
@@ -87,7 +87,7 @@
   });
 });
 
-describe('a replica that starts again under its id', () => {
+describe('ReplicaDirectory with a replica that restarts under the same id', () => {
   const FIRST = { bornAt: 1_000, sequence: 900 };
   const SECOND = { bornAt: 2_000, sequence: 1, address: '10.0.0.2:80' };
 
@@ -97,7 +97,7 @@
     return directory;
   }
 
-  it('is known as its later life whatever the earlier one had said', () => {
+  it('replaces an earlier incarnation by a later one, whatever the state of the earlier one', () => {
     for (const state of Object.values(RegisteredState)) {
       const directory = directoryWith({ ...FIRST, state });
       expect(directory.reportDirectly(entry(SECOND))).toEqual({ isCurrent: true, isNews: true });
@@ -105,7 +105,7 @@
     }
   });
 
-  it('comes back after it was said to have left', () => {
+  it('accepts a new incarnation after the earlier one has left', () => {
     const directory = directoryWith(FIRST);
     directory.leave('i-1');
     directory.reportDirectly(entry({ ...FIRST, sequence: 905 }));
@@ -114,7 +114,7 @@
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Ready);
   });
 
-  it('is not changed by a late word of its earlier life, nor kept by it', async () => {
+  it('ignores a late report of an earlier incarnation, which does not count as heard either', async () => {
     const directory = directoryWith(SECOND);
     const heardAt = directory.lastHeardAt('i-1');
     await simulation.runFor(1_000);
@@ -125,7 +125,7 @@
     expect(directory.lastHeardAt('i-1')).toBe(heardAt);
   });
 
-  it('is not shut out for good when its clock was set back between its lives', async () => {
+  it('accepts a new incarnation with an earlier start time once the known one has been silent', async () => {
     const directory = directoryWith(SECOND);
     const setBack = entry({ bornAt: 1_500, sequence: 1 });
     expect(directory.reportDirectly(setBack).isCurrent).toBe(false);
@@ -138,7 +138,7 @@
     expect(directory.find('i-1')?.bornAt).toBe(1_500);
   });
 
-  it('is heard again at once where a late word was taken for a later life', async () => {
+  it('accepts the current incarnation at once after a late report was taken for a later incarnation', async () => {
     const directory = directoryWith(SECOND);
     await simulation.runFor(INCARNATION_SILENCE_MS + 1);
     directory.reportDirectly(entry(FIRST));
@@ -147,7 +147,7 @@
     expect(directory.find('i-1')).toEqual(entry({ ...SECOND, sequence: 7, generation: 1 }));
   });
 
-  it('is taken up after a leaving of an unknown life once another tells which life it was', () => {
+  it('accepts a new incarnation after a leaving of unknown incarnation, once another report identifies that incarnation', () => {
     const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
     directory.leave('i-1');
     directory.reportDirectly(entry({ sequence: 4 }));
@@ -158,7 +158,7 @@
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Ready);
   });
 
-  it('is taken up after a leaving of a life that nobody knows when that is forgotten', async () => {
+  it('accepts a new incarnation after a leaving of unknown incarnation, once that leaving is forgotten', async () => {
     const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
     directory.leave('i-1');
     await simulation.runFor(FORGET_AFTER_MS + 1);
@@ -167,7 +167,7 @@
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Ready);
   });
 
-  it('leaves also where the controller that heard it does not know its generation', () => {
+  it('applies a leaving reported by a controller that does not know the raised generation', () => {
     const raised = { ...SECOND, generation: 1 };
     for (const state of [RegisteredState.Draining, RegisteredState.Gone]) {
       const directory = new ReplicaDirectory(clock, DirectoryKind.HearsChanges);
@@ -175,14 +175,14 @@
       const other = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
       if (state === RegisteredState.Gone) other.leave('i-1');
       else other.reportDirectly(entry({ ...SECOND, sequence: 2, state }));
-      for (const told of other.all()) directory.report(told);
+      for (const report of other.all()) directory.report(report);
       expect(directory.find('i-1')).toMatchObject({ state, generation: 1 });
-      for (const told of directory.all()) other.report(told);
+      for (const report of directory.all()) other.report(report);
       expect(other.find('i-1')).toMatchObject({ state, generation: 1 });
     }
   });
 
-  it('is known alike by all once they have told each other, whatever came to whom first', () => {
+  it('reaches the same entry in two directories that exchange their entries, whatever the order of the reports', () => {
     const reports = fc.array(
       fc.record({
         sequence: fc.integer({ min: 1, max: 5 }),
@@ -192,21 +192,21 @@
       }),
       { minLength: 1, maxLength: 8 },
     );
-    const shown = (directory: ReplicaDirectory): string => {
+    const describeEntry = (directory: ReplicaDirectory): string => {
       const { state, sequence, bornAt, generation = 0 } = directory.find('i-1') ?? entry();
       return `${state} ${sequence} ${bornAt} ${generation}`;
     };
-    const holding = (list: readonly Partial<ReplicaEntry>[]): ReplicaDirectory => {
+    const directoryAfter = (list: readonly Partial<ReplicaEntry>[]): ReplicaDirectory => {
       const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
       for (const report of list) directory.report(entry(report));
       return directory;
     };
     fc.assert(
       fc.property(reports, (list) => {
-        const [left, right] = [holding(list), holding([...list].reverse())];
-        for (const told of [...right.all()]) left.report(told);
-        for (const told of [...left.all()]) right.report(told);
-        expect(shown(left)).toBe(shown(right));
+        const [left, right] = [directoryAfter(list), directoryAfter([...list].reverse())];
+        for (const report of [...right.all()]) left.report(report);
+        for (const report of [...left.all()]) right.report(report);
+        expect(describeEntry(left)).toBe(describeEntry(right));
       }),
       { seed: 6, numRuns: 1_000 },
     );
--- a/test/directory/replica-store.test.ts
+++ b/test/directory/replica-store.test.ts
@@ -16,7 +16,7 @@
 import { UnusableEntries } from '../../src/observability/unusable-entries.js';
 import { GatewayHarness } from '../gateway/gateway-harness.js';
 
-/** Longer than the store takes to write what has changed. */
+/** Longer than the store takes to write changes. Milliseconds. */
 const WRITE_DELAY_MS = 1_000;
 
 function entry(replicaId: string, state = RegisteredState.Ready): ReplicaEntry {
@@ -24,7 +24,7 @@
   return { replicaId, ...place, capacity: 2, state, sequence: 3, warmupMs: 900 };
 }
 
-/** Stores `entries` on a disk, loses power, and gives the directory of the next start. */
+/** Stores `entries` on a disk, cuts the power, and returns the directory after the restart. */
 async function restoreAfterPowerLoss(
   simulation: Simulation,
   entries: readonly ReplicaEntry[],
@@ -49,19 +49,19 @@
   return after;
 }
 
-describe('replicas on a controller disk', () => {
-  it('are known again after a loss of power, as restored', async () => {
+describe('replicas stored on a controller disk', () => {
+  it('are restored after a loss of power, and marked as restored', async () => {
     const directory = await restoreAfterPowerLoss(new Simulation(3), [entry('i-1')]);
     expect(directory.find('i-1')).toMatchObject({ service: 'ledger', restored: true, warmupMs: 0 });
   });
 
-  it('are known again with the life that they had', async () => {
-    const reborn = { ...entry('i-1'), bornAt: 1_790_000_000_000, generation: 2 };
-    const directory = await restoreAfterPowerLoss(new Simulation(3), [reborn]);
-    expect(directory.find('i-1')).toMatchObject({ bornAt: reborn.bornAt, generation: 2 });
+  it('are restored with their incarnation and generation', async () => {
+    const restarted = { ...entry('i-1'), bornAt: 1_790_000_000_000, generation: 2 };
+    const directory = await restoreAfterPowerLoss(new Simulation(3), [restarted]);
+    expect(directory.find('i-1')).toMatchObject({ bornAt: restarted.bornAt, generation: 2 });
   });
 
-  it('are forgotten when they are not heard of soon, but not those that leave', async () => {
+  it('are soon forgotten without a heartbeat, unless they are leaving', async () => {
     const simulation = new Simulation(3);
     const leaving = entry('i-2', RegisteredState.Draining);
     const directory = await restoreAfterPowerLoss(simulation, [
@@ -77,20 +77,20 @@
     expect(directory.find('i-3')?.restored).toBe(false);
   });
 
-  it('never let a late heartbeat bring back one that leaves', async () => {
+  it('stay gone after a restart when a late heartbeat arrives', async () => {
     const leaving = entry('i-1', RegisteredState.Gone);
     const directory = await restoreAfterPowerLoss(new Simulation(3), [leaving]);
     directory.report({ ...entry('i-1'), sequence: 9 });
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
   });
 
-  it('are not stored any more once they fall silent', async () => {
+  it('are no longer stored once they are silent', async () => {
     const simulation = new Simulation(3);
     const directory = await restoreAfterPowerLoss(simulation, [entry('i-1')], 9_000);
     expect([...directory.all()]).toEqual([]);
   });
 
-  it('let gateways serve before the replicas are heard of again', async () => {
+  it('let gateways serve requests before the next heartbeats arrive', async () => {
     const harness = await GatewayHarness.start();
     await harness.addReplica('ledger', 'whole');
     await harness.putRoutes([{ pathPrefix: '/ledger/', service: 'ledger' }]);
--- a/test/directory/route-lag-metrics.test.ts
+++ b/test/directory/route-lag-metrics.test.ts
@@ -3,10 +3,10 @@
 import { startRollout, type StartedRollout } from '../../lab/rollout/rollout-run.js';
 
 const CHANGING_MS = 4_000;
-/** Longer than a gateway that is cut off from everybody stays connected. Milliseconds. */
+/** Longer than an unresponsive gateway stays connected. Milliseconds. */
 const FREEZE_MS = 6_000;
 
-/** Greatest value of a gauge over all controllers. */
+/** Returns the highest value of a gauge over all controllers. */
 async function maximumOf({ fleet }: StartedRollout, metric: string): Promise<number> {
   const values: number[] = [];
   for (const registry of fleet.registries) {
@@ -16,7 +16,7 @@
   return Math.max(...values);
 }
 
-it('shows for how long a gateway that does not take in what it is sent lacks the routes', async () => {
+it('the metrics show how long a frozen gateway has lacked the route document', async () => {
   const started = await startRollout({
     ...DEFAULT_ROLLOUT_OPTIONS,
     pausesMs: [300],
--- a/test/directory/route-lag-watch.test.ts
+++ b/test/directory/route-lag-watch.test.ts
@@ -4,7 +4,7 @@
 import { RouteLagWatch } from '../../src/directory/route-lag-watch.js';
 import type { LogFields, Logger } from '../../src/observability/logger.js';
 
-it('writes which gateways lack routes and who owes them, seldom, and when all have them', async () => {
+it('logs late gateways with the responsible controllers at a limited rate, and logs once when all have caught up', async () => {
   const simulation = new Simulation(7);
   const { clock } = simulation.createMachine('controller', 'a').environment;
   const lines: { message: string; fields: LogFields }[] = [];
--- a/test/directory/unreadable-frames.test.ts
+++ b/test/directory/unreadable-frames.test.ts
@@ -19,7 +19,7 @@
   return (unreadable ?? []).reduce((sum, { value }) => sum + value, 0);
 }
 
-it('frames of a controller that cannot be read are counted, and end the stream', async () => {
+it('unreadable frames from a controller are counted and end the stream', async () => {
   const simulation = new Simulation(5);
   const controller = simulation.createMachine('controller', 'a');
   const { environment } = simulation.createMachine('gateway', 'a');
@@ -53,7 +53,7 @@
   await simulation.settle(client.stop());
 });
 
-it('frames of a subscriber that cannot be read are counted, and end its stream', async () => {
+it('unreadable frames from a subscriber are counted and end its stream', async () => {
   const group = await AutomaticGroup.start(1);
   const { simulation } = group;
   const { environment } = simulation.createMachine('stranger', 'nayoro');
--- a/test/directory/version-confirmer.test.ts
+++ b/test/directory/version-confirmer.test.ts
@@ -18,7 +18,7 @@
 const LINK_MS = 1;
 const BOUND_MS = 5_000;
 
-/** A controller whose group confirms it. */
+/** A controller whose read barriers succeed while it has a quorum. */
 class ConfirmingController {
   version: number | undefined = 1;
   hasQuorum = true;
@@ -55,8 +55,8 @@
   return { simulation, controller: new ConfirmingController(clock) };
 }
 
-describe('a question which version is in force', () => {
-  it('is answered after a barrier, with the version of then', async () => {
+describe('a request to confirm the version in force', () => {
+  it('is answered after a barrier, with the version known at that time', async () => {
     const { simulation, controller } = createController();
     controller.ask(4);
     await simulation.runFor(BARRIER_MS / 2);
@@ -66,7 +66,7 @@
     expect(controller.answered).toMatchObject([{ number: 4, version: 2 }]);
   });
 
-  it('is answered without a document', async () => {
+  it('is answered with no version while there is no document', async () => {
     const { simulation, controller } = createController();
     controller.version = undefined;
     controller.ask(1);
@@ -94,7 +94,7 @@
     expect(controller.answered).toEqual([]);
   });
 
-  it('shares its barrier with others', async () => {
+  it('shares a barrier with other requests', async () => {
     const { simulation, controller } = createController();
     for (let number = 0; number < 500; number += 1) controller.ask(number);
     await simulation.runFor(CONFIRMATION_INTERVAL_MS + 2 * BARRIER_MS);
@@ -103,12 +103,12 @@
   });
 });
 
-/** Gateways of which each asks one controller, all started together. */
+/** Gateways that start together and send their requests to one controller each. */
 class RequestingFleet {
   readonly simulation = new Simulation(7);
   readonly controllers: ConfirmingController[];
   private readonly leases: LeaseRenewal[] = [];
-  /** Clock readings, of the controllers' clock. */
+  /** When each request was sent. Clock readings. */
   readonly requestedAt: number[] = [];
   private readonly clock: Clock;
 
@@ -161,35 +161,35 @@
 }
 
 describe.each([
-  { gateways: 87, controllers: 3, asksPerSecond: 120, barriersPerSecond: 60 },
-  { gateways: 1_100, controllers: 9, asksPerSecond: 1_500, barriersPerSecond: 180 },
+  { gateways: 87, controllers: 3, requestsPerSecond: 120, barriersPerSecond: 60 },
+  { gateways: 1_100, controllers: 9, requestsPerSecond: 1_500, barriersPerSecond: 180 },
 ])('$gateways gateways with a bound of 5 s', (fleetSize) => {
-  const { gateways, controllers, asksPerSecond, barriersPerSecond } = fleetSize;
+  const { gateways, controllers, requestsPerSecond, barriersPerSecond } = fleetSize;
   const SECONDS = 20;
 
-  it('cost few messages and barriers, and hold their leases throughout', async () => {
+  it('send few requests, cause few barriers, and hold their leases throughout', async () => {
     const fleet = new RequestingFleet(gateways, controllers);
     await fleet.simulation.runFor(1_000);
-    const [asksBefore, barriersBefore] = [fleet.requestedAt.length, fleet.barriers];
+    const [requestsBefore, barriersBefore] = [fleet.requestedAt.length, fleet.barriers];
     for (let second = 0; second < SECONDS; second += 1) {
       await fleet.simulation.runFor(1_000);
       expect(fleet.held).toBe(gateways);
     }
-    const asks = (fleet.requestedAt.length - asksBefore) / SECONDS;
+    const requests = (fleet.requestedAt.length - requestsBefore) / SECONDS;
     const barriers = (fleet.barriers - barriersBefore) / SECONDS;
-    expect(asks).toBeGreaterThan(gateways);
-    expect(asks).toBeLessThan(asksPerSecond);
+    expect(requests).toBeGreaterThan(gateways);
+    expect(requests).toBeLessThan(requestsPerSecond);
     expect(barriers).toBeLessThanOrEqual(barriersPerSecond);
   });
 
-  it('have their first leases at once when all start together, by few barriers', async () => {
+  it('obtain their first leases at once with few barriers when they start together', async () => {
     const fleet = new RequestingFleet(gateways, controllers);
     await fleet.simulation.runFor(2 * CONFIRMATION_INTERVAL_MS + 2 * BARRIER_MS);
     expect(fleet.held).toBe(gateways);
     expect(fleet.barriers).toBeLessThanOrEqual(3 * controllers);
   });
 
-  it('ask nothing where no route needs a key', async () => {
+  it('send no requests while no route needs a key', async () => {
     const fleet = new RequestingFleet(gateways, controllers, false);
     await fleet.simulation.runFor(10_000);
     expect(fleet.requestedAt).toEqual([]);
--- a/test/membership/replica-record.test.ts
+++ b/test/membership/replica-record.test.ts
@@ -14,7 +14,7 @@
 }
 
 describe('a replica record', () => {
-  it('takes an unfinished attempt for a lower bound of the latency only', () => {
+  it('counts an unfinished attempt only as a lower bound of the latency', () => {
     const record = createRecord();
     record.recordAnswer('1.1', 100);
     record.recordUnfinished(50);
