--- a/src/control/registration-endpoint.ts
+++ b/src/control/registration-endpoint.ts
@@ -110,7 +110,7 @@
       unusable.note(EntrySource.Heartbeat, UnusableReason.TooMany, { replicaId });
       return errorResponse(503, 'too many replicas');
     }
-    if (isCurrent) server.noteHeartbeat(replicaId);
+    if (isCurrent) server.recordHeartbeat(replicaId);
     if (isNews) {
       const { service, address, state, sequence, bornAt } = entry;
       logger.info('replica registered', {
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -104,7 +104,7 @@
     const { environment, identity, logger, log, register, zone, ownAddress } = options;
     const { evacuations, evacuationOrders, quarantine, quarantineOrders, traffic } = options;
     const { clock } = environment;
-    this.directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    this.directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     this.unusable = new UnusableEntries({ clock, logger, registry: options.registry });
     const intake = new EvidenceIntake({
       orders: quarantineOrders,
--- a/src/directory/controller-choice.ts
+++ b/src/directory/controller-choice.ts
@@ -46,8 +46,8 @@
 
 /**
  * Returns the addresses to follow: controllers in order of preference until `count` of them are
- * fresh or pending. Returns all addresses while no controller is fresh, since following every
- * controller then costs nothing.
+ * fresh or pending. Returns all addresses while no controller is fresh, since nothing can be lost by
+ * trying every controller then.
  */
 export function chooseControllers(
   controllers: readonly KnownController[],
--- a/src/directory/controller-roster.ts
+++ b/src/directory/controller-roster.ts
@@ -30,7 +30,7 @@
     this.zones.set(sources.ownName, sources.ownZone);
   }
 
-  /** Returns the members of the group; the zone is empty for members that have never connected. */
+  /** Returns the members of the group, with the zones of those that follow this controller or have done so. */
   all(): readonly DirectoryController[] {
     return this.sources.members().map(({ memberId, address }) => ({
       memberId,
@@ -43,7 +43,7 @@
    * Records the zone of a controller that has connected. Drops the zones of controllers that are
    * neither members nor connected.
    */
-  noteConnected(controller: string, zone: string): void {
+  recordConnected(controller: string, zone: string): void {
     const { ownName, members, connected } = this.sources;
     this.zones.set(controller, zone);
     const known = new Set([ownName, controller]);
--- a/src/directory/directory-client.ts
+++ b/src/directory/directory-client.ts
@@ -180,10 +180,10 @@
       relay,
       onUpdate: (message, link) => this.handleUpdate(message, link),
       onGateways: () => this.mergeGateways(),
-      onControllers: (link) => this.controllers.noteGroupMembers(link.controllers),
+      onControllers: (link) => this.controllers.recordGroupMembers(link.controllers),
       documentVersion: () => this.documentVersion,
       onFirstStatus: () => this.emitFollowed(),
-      onUnreadable: ({ address: controller }) => this.noteUnreadable(controller),
+      onUnreadable: ({ address: controller }) => this.countUnreadable(controller),
       onState: (link, isOpen) => this.handleLinkState(link, isOpen),
     };
   }
@@ -196,7 +196,7 @@
         this.handleReplica(message, link);
         return;
       case 'heard':
-        directory.noteHeartbeat(message.replicaId);
+        directory.recordHeartbeat(message.replicaId);
         return;
       case 'document':
         this.handleDocument({ ...message, controller: link.address });
@@ -250,7 +250,7 @@
     this.mergedGateways = [...merged.values()];
   }
 
-  private noteUnreadable(controller: string): void {
+  private countUnreadable(controller: string): void {
     const { unusable } = this.options;
     unusable.note(EntrySource.DirectoryStream, UnusableReason.Unreadable, { controller });
   }
--- a/src/directory/directory-server.ts
+++ b/src/directory/directory-server.ts
@@ -112,7 +112,7 @@
   }
 
   /** Records a heartbeat that a replica sent to this controller, for the next frame to the others. */
-  noteHeartbeat(replicaId: string): void {
+  recordHeartbeat(replicaId: string): void {
     for (const session of this.sessions) {
       if (session.kind === SubscriberKind.Controller) session.pendingHeartbeats.add(replicaId);
     }
@@ -197,7 +197,7 @@
     const isController = message.subscriberKind === SubscriberKind.Controller.valueOf();
     const kind = isController ? SubscriberKind.Controller : SubscriberKind.Gateway;
     const { zone, gatherAddress: address } = message;
-    if (isController) this.controllers.noteConnected(name, zone);
+    if (isController) this.controllers.recordConnected(name, zone);
     const isInOtherZone = zone !== this.sources.ownZone;
     const supportsCompression = protocolVersion >= COMPRESSION_SINCE_VERSION;
     const isCompressed = this.sources.compressBetweenZones && isInOtherZone && supportsCompression;
--- a/src/directory/followed-controllers.ts
+++ b/src/directory/followed-controllers.ts
@@ -59,7 +59,7 @@
   }
 
   /** Records the group members that a controller has sent. */
-  noteGroupMembers(controllers: readonly KnownController[]): void {
+  recordGroupMembers(controllers: readonly KnownController[]): void {
     for (const { address, zone } of controllers) {
       if (zone !== '') this.zones.set(address, zone);
     }
--- a/src/directory/replica-directory.ts
+++ b/src/directory/replica-directory.ts
@@ -38,8 +38,8 @@
 
 /** Whether the process receives every heartbeat, or only changes. */
 export enum DirectoryKind {
-  HearsHeartbeats = 'hears_heartbeats',
-  HearsChanges = 'hears_changes',
+  ReceivesHeartbeats = 'hears_heartbeats',
+  ReceivesChanges = 'hears_changes',
 }
 
 /**
@@ -50,7 +50,7 @@
 function retentionMs(kind: DirectoryKind, entry: ReplicaEntry | undefined): number {
   if (entry === undefined || entry.state !== RegisteredState.Ready) return FORGET_AFTER_MS;
   if (isRestored(entry)) return RESTORED_RETENTION_MS;
-  return kind === DirectoryKind.HearsChanges ? Infinity : FORGET_AFTER_MS;
+  return kind === DirectoryKind.ReceivesChanges ? Infinity : FORGET_AFTER_MS;
 }
 
 /**
@@ -151,10 +151,11 @@
     const known = this.entries.get(report.replicaId);
     if (known === undefined && this.entries.size >= this.maximumEntries) return false;
     const merged = known === undefined ? report : mergeReports(known, report);
-    // A restored entry or a late report of an earlier incarnation is no sign that the replica is alive.
+    // A restored entry repeated by another controller, or a late report of an earlier incarnation, does
+    // not prove that the replica is alive.
     const isEarlier = known !== undefined && compareIncarnations(report, known) < 0;
-    const isHeard = known === undefined || (!isRestored(report) && !isEarlier);
-    if (isHeard) this.heardAt.set(report.replicaId, this.clock.now());
+    const provesAlive = known === undefined || (!isRestored(report) && !isEarlier);
+    if (provesAlive) this.heardAt.set(report.replicaId, this.clock.now());
     if (merged === known) return false;
     this.entries.set(report.replicaId, merged);
     if (!isSignificantChange(known, merged)) return false;
@@ -173,7 +174,7 @@
   }
 
   /** Records a heartbeat of the replica that some process has received. */
-  noteHeartbeat(replicaId: string): void {
+  recordHeartbeat(replicaId: string): void {
     const known = this.entries.get(replicaId);
     if (known === undefined) return;
     if (isRestored(known)) this.report({ ...known, restored: false });
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -58,7 +58,7 @@
   ) {
     const { name } = configuration;
     this.logger = telemetry.logger.child({ gateway: name });
-    this.directory = new ReplicaDirectory(environment.clock, DirectoryKind.HearsChanges);
+    this.directory = new ReplicaDirectory(environment.clock, DirectoryKind.ReceivesChanges);
     this.traffic = new ZoneTraffic(configuration.zone, telemetry.registry);
     const { directory, logger, identity, traffic } = this;
     this.client = createDirectoryClient({
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -130,9 +130,9 @@
     if (this.livenessReport !== undefined && report.incarnation < this.livenessReport.incarnation)
       return wasSuspect;
     this.recordLoad(report.load);
-    const isNews = this.snapshots.replace(report.snapshots, this.clock.now());
-    if (isNews || wasSuspect) this.wakeRoomWaiters();
-    return isNews || wasSuspect;
+    const haveSnapshotsChanged = this.snapshots.replace(report.snapshots, this.clock.now());
+    if (haveSnapshotsChanged || wasSuspect) this.wakeRoomWaiters();
+    return haveSnapshotsChanged || wasSuspect;
   }
 
   /** Records a missed report; returns true if it makes the replica suspect. */
@@ -166,9 +166,9 @@
   }
 
   recordSnapshotNotHeld(snapshot: string): boolean {
-    const isNews = this.snapshots.deny(snapshot, this.clock.now());
-    if (isNews) this.wakeRoomWaiters();
-    return isNews;
+    const haveSnapshotsChanged = this.snapshots.deny(snapshot, this.clock.now());
+    if (haveSnapshotsChanged) this.wakeRoomWaiters();
+    return haveSnapshotsChanged;
   }
 
   /** Wakes all waiters, since the requests that may be sent to the replica have changed. */
--- a/src/membership/replica-registry.ts
+++ b/src/membership/replica-registry.ts
@@ -46,7 +46,7 @@
   generation = 0;
   /** Emits liveness reports first observed by this router, to be sent to others. */
   readonly ownLivenessReports: Stream<ReplicaSign>;
-  private readonly emitLivenessReport: (sign: ReplicaSign) => void;
+  private readonly emitLivenessReport: (report: ReplicaSign) => void;
   private readonly entries = new Map<string, Entry>();
   /** Newest liveness report of each replica that is not, or no longer, in the configuration. */
   private readonly unconfiguredReports = new Map<string, ReplicaSign>();
--- a/test/control/other-writers.test.ts
+++ b/test/control/other-writers.test.ts
@@ -95,7 +95,7 @@
 describe('endless ids', () => {
   it('fill a bounded number of entries, and leave those that are known as they are', () => {
     const { clock } = new Simulation(1).createMachine('controller', 'a').environment;
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats, 3);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats, 3);
     const entry = {
       replicaId: 'i-0',
       service: 'ledger',
--- a/test/directory/controller-roster.test.ts
+++ b/test/directory/controller-roster.test.ts
@@ -14,7 +14,7 @@
   });
 
   constructor() {
-    for (const name of this.connected) this.roster.noteConnected(name, zoneOf(name));
+    for (const name of this.connected) this.roster.recordConnected(name, zoneOf(name));
   }
 }
 
@@ -54,7 +54,7 @@
     const group = new Group();
     group.members = ['c1', 'c3'];
     group.connected = ['c3'];
-    group.roster.noteConnected('c3', 'z3');
+    group.roster.recordConnected('c3', 'z3');
     group.members = ['c1', 'c2', 'c3'];
     expect(group.roster.all().map(({ zone }) => zone)).toEqual(['z1', '', 'z3']);
   });
--- a/test/directory/directory-session.test.ts
+++ b/test/directory/directory-session.test.ts
@@ -32,7 +32,7 @@
   const parts = { simulation, history, version: 1, isPreferred: false };
   const sources: DirectorySessionSources = {
     clock,
-    directory: new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats),
+    directory: new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats),
     document: () => ({ version: parts.version, content: new Uint8Array(0) }),
     routeHistory: history,
     isPreferredFor: () => parts.isPreferred,
--- a/test/directory/replica-directory.test.ts
+++ b/test/directory/replica-directory.test.ts
@@ -28,7 +28,7 @@
 
 describe('ReplicaDirectory', () => {
   it('keeps a replica that has left gone when a late heartbeat arrives', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.report(entry({ sequence: 4 }));
     directory.leave('i-1');
     directory.report(entry({ sequence: 9 }));
@@ -36,7 +36,7 @@
   });
 
   it('records the leaving of a replica that never registered here', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.leave('i-1');
     directory.report(entry());
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
@@ -52,7 +52,7 @@
       { minLength: 1, maxLength: 8 },
     );
     const stateAfter = (list: readonly Partial<ReplicaEntry>[]): string | undefined => {
-      const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+      const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
       for (const report of list) directory.report(entry(report));
       const known = directory.find('i-1');
       return `${known?.state} ${known?.sequence} ${known?.bornAt}`;
@@ -66,7 +66,7 @@
   });
 
   it('returns changes to readers, but not each heartbeat', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.report(entry());
     const { position } = directory;
     expect(directory.report(entry({ sequence: 2 }))).toBe(false);
@@ -76,11 +76,11 @@
   });
 
   it('forgets a replica after a long time without a report', async () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.report(entry());
     directory.report(entry({ replicaId: 'i-2' }));
     await simulation.runFor(FORGET_AFTER_MS - 1_000);
-    directory.noteHeartbeat('i-2');
+    directory.recordHeartbeat('i-2');
     await simulation.runFor(2_000);
     directory.forgetSilent();
     expect([...directory.all()].map(({ replicaId }) => replicaId)).toEqual(['i-2']);
@@ -92,7 +92,7 @@
   const SECOND = { bornAt: 2_000, sequence: 1, address: '10.0.0.2:80' };
 
   function directoryWith(first: Partial<ReplicaEntry>): ReplicaDirectory {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.reportDirectly(entry(first));
     return directory;
   }
@@ -148,7 +148,7 @@
   });
 
   it('accepts a new incarnation after a leaving of unknown incarnation, once another report identifies that incarnation', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.leave('i-1');
     directory.reportDirectly(entry({ sequence: 4 }));
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
@@ -159,7 +159,7 @@
   });
 
   it('accepts a new incarnation after a leaving of unknown incarnation, once that leaving is forgotten', async () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.leave('i-1');
     await simulation.runFor(FORGET_AFTER_MS + 1);
     directory.forgetSilent();
@@ -170,9 +170,9 @@
   it('applies a leaving reported by a controller that does not know the raised generation', () => {
     const raised = { ...SECOND, generation: 1 };
     for (const state of [RegisteredState.Draining, RegisteredState.Gone]) {
-      const directory = new ReplicaDirectory(clock, DirectoryKind.HearsChanges);
+      const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesChanges);
       directory.report(entry(raised));
-      const other = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+      const other = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
       if (state === RegisteredState.Gone) other.leave('i-1');
       else other.reportDirectly(entry({ ...SECOND, sequence: 2, state }));
       for (const report of other.all()) directory.report(report);
@@ -197,7 +197,7 @@
       return `${state} ${sequence} ${bornAt} ${generation}`;
     };
     const directoryAfter = (list: readonly Partial<ReplicaEntry>[]): ReplicaDirectory => {
-      const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+      const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
       for (const report of list) directory.report(entry(report));
       return directory;
     };
--- a/test/directory/replica-store.test.ts
+++ b/test/directory/replica-store.test.ts
@@ -38,13 +38,13 @@
     const unusable = new UnusableEntries({ clock, ...telemetry });
     return { clock, disk, directory, unusable, logger: SILENT_LOGGER, stopped };
   };
-  const before = new ReplicaDirectory(machine.environment.clock, DirectoryKind.HearsHeartbeats);
+  const before = new ReplicaDirectory(machine.environment.clock, DirectoryKind.ReceivesHeartbeats);
   void storeReplicas(partsOf(before));
   for (const each of entries) before.report(each);
   await simulation.runFor(runForMs);
   machine.crash({ power: true });
   machine.restart({ keepDisk: true });
-  const after = new ReplicaDirectory(machine.environment.clock, DirectoryKind.HearsHeartbeats);
+  const after = new ReplicaDirectory(machine.environment.clock, DirectoryKind.ReceivesHeartbeats);
   await simulation.settle(restoreReplicas(partsOf(after)));
   return after;
 }
@@ -70,7 +70,7 @@
       entry('i-3'),
     ]);
     await simulation.runFor(RESTORED_RETENTION_MS - 100);
-    directory.noteHeartbeat('i-3');
+    directory.recordHeartbeat('i-3');
     await simulation.runFor(200);
     directory.forgetSilent();
     expect([...directory.all()].map(({ replicaId }) => replicaId)).toEqual(['i-2', 'i-3']);
--- a/test/directory/route-lag-watch.test.ts
+++ b/test/directory/route-lag-watch.test.ts
@@ -20,7 +20,7 @@
   watch.check();
   expect(lines).toEqual([]);
   lackingMs = 2_500;
-  for (let looks = 0; looks < 10; looks += 1) {
+  for (let checks = 0; checks < 10; checks += 1) {
     watch.check();
     await simulation.runFor(250);
   }
--- a/test/directory/unreadable-frames.test.ts
+++ b/test/directory/unreadable-frames.test.ts
@@ -41,7 +41,7 @@
     identity: { ...identity, name: 'gateway' },
     subscriberKind: SubscriberKind.Gateway,
     zone: 'a',
-    directory: new ReplicaDirectory(environment.clock, DirectoryKind.HearsChanges),
+    directory: new ReplicaDirectory(environment.clock, DirectoryKind.ReceivesChanges),
     unusable: new UnusableEntries({ clock: environment.clock, ...telemetry }),
     traffic: new ZoneTraffic('a', registry),
     ...telemetry,
