--- a/src/directory/directory-session.ts
+++ b/src/directory/directory-session.ts
@@ -169,13 +169,11 @@
   }
 
   private addControllers(sources: DirectorySessionSources, messages: DirectoryMessage[]): void {
-    const controllersFingerprint = sources.controllers();
-    const fingerprint = controllersFingerprint
-      .map(({ address, zone }) => `${address} ${zone}`)
-      .join(' ');
+    const controllers = sources.controllers();
+    const fingerprint = controllers.map(({ address, zone }) => `${address} ${zone}`).join(' ');
     if (fingerprint === this.controllersFingerprint) return;
     this.controllersFingerprint = fingerprint;
-    for (const { memberId, address, zone } of controllersFingerprint) {
+    for (const { memberId, address, zone } of controllers) {
       messages.push({ kind: 'controller', memberId, address, zone });
     }
   }
