--- a/test/directory/version-confirmer.test.ts
+++ b/test/directory/version-confirmer.test.ts
@@ -127,7 +127,7 @@
         registry: new Registry(),
         stopped: new AbortController().signal,
       });
-      lease.useTable(createTable(needsKeys));
+      lease.setRouteTable(createTable(needsKeys));
       this.leases.push(lease);
       void lease.run();
     }
@@ -149,7 +149,7 @@
     this.requestedAt.push(this.clock.now());
     this.clock.setTimer(LINK_MS, () =>
       controller?.confirmer.requestConfirmation(number, ({ version }) => {
-        this.clock.setTimer(LINK_MS, () => lease().takeAnswer(number, version));
+        this.clock.setTimer(LINK_MS, () => lease().handleConfirmation(number, version));
       }),
     );
     return true;
