--- a/src/directory/controller-choice.ts
+++ b/src/directory/controller-choice.ts
@@ -24,7 +24,7 @@
 
 /** State of a controller from the point of view of a gateway that may follow it. */
 export enum FollowState {
-  /** The controller is followed and its status is recent. */
+  /** The controller is followed, has recent information and is not about to stop. */
   Fresh = 'fresh',
   /** The controller was dialled recently and has not become fresh yet. */
   Pending = 'pending',
--- a/src/directory/directory-link.ts
+++ b/src/directory/directory-link.ts
@@ -79,7 +79,7 @@
 }
 
 /** Returns `initialMs` doubled for each consecutive failure, limited to `maximumMs`. */
-function backoffMs(initialMs: number, maximumMs: number, failures: number): number {
+function doubledPerFailure(initialMs: number, maximumMs: number, failures: number): number {
   return Math.min(initialMs * 2 ** failures, maximumMs);
 }
 
@@ -128,7 +128,7 @@
     const { clock, random } = this.parts.environment;
     while (!this.stopped.signal.aborted) {
       await this.connectAndFollow();
-      const backoff = backoffMs(
+      const backoff = doubledPerFailure(
         INITIAL_REDIAL_BACKOFF_MS,
         MAXIMUM_REDIAL_BACKOFF_MS,
         this.failures,
@@ -144,7 +144,7 @@
     let wasOpen = false;
     try {
       const address = parseAddress(this.address);
-      const connectTimeout = backoffMs(
+      const connectTimeout = doubledPerFailure(
         INITIAL_DIAL_TIMEOUT_MS,
         MAXIMUM_DIAL_TIMEOUT_MS,
         this.failures,
--- a/src/directory/directory-messages.ts
+++ b/src/directory/directory-messages.ts
@@ -12,7 +12,7 @@
   readonly gatherAddress: string;
 }
 
-/** A replica's entry without incarnation; see `ReplicaEntry`. */
+/** The entry of a replica that does not report when its process started; see `ReplicaEntry`. */
 export interface ReplicaMessage {
   readonly kind: 'replica';
   readonly replicaId: string;
@@ -51,7 +51,7 @@
   readonly kind: 'evacuation';
 }
 
-/** What the controllers agreed on about a request suspected of crashing replicas; see `QuarantineEntry`. */
+/** What the controllers agreed on about a request during which replicas ended; see `QuarantineEntry`. */
 export interface QuarantineMessage {
   readonly kind: 'quarantine';
   /** A `QuarantineState`. */
@@ -65,7 +65,7 @@
   readonly endedInTrial: string;
 }
 
-/** A gateway's evidence about a request suspected of crashing replicas; see `QuarantineChange`. */
+/** A gateway's evidence about a request during which replicas ended; see `QuarantineChange`. */
 export interface CrashEvidenceMessage {
   readonly kind: 'crashEvidence';
   /** A `QuarantineChangeKind`. */
--- a/src/directory/directory-session.ts
+++ b/src/directory/directory-session.ts
@@ -29,7 +29,7 @@
   readonly routeHistory: VersionHistory;
   /** Zone evacuations; sent to gateways. */
   readonly evacuations: () => Iterable<ZoneEvacuation>;
-  /** Requests suspected of crashing replicas; sent to gateways unless merely observed. */
+  /** Requests during which replicas ended; sent to gateways unless they are only observed. */
   readonly quarantine: Pick<QuarantineRegister, 'position' | 'changedAfter'>;
   /** Whether this controller is the gateway's most preferred one among the connected controllers. */
   readonly isPreferredFor: (gateway: KnownGateway) => boolean;
--- a/src/directory/directory-timing.ts
+++ b/src/directory/directory-timing.ts
@@ -31,8 +31,8 @@
 export const LINK_CHECK_INTERVAL_MS = 250;
 
 /**
- * Age of a followed controller's status above which another controller is followed as well. Equals
- * three status intervals. With the time for a dial added, it is well below the seconds within which
+ * Age of a followed controller's information above which another controller is followed as well.
+ * Equals three status intervals. With the time for a dial added, it is well below the seconds within which
  * a change has to be in force.
  */
 export const FOLLOWED_FRESHNESS_MS = 1_200;
--- a/src/directory/replica-directory.ts
+++ b/src/directory/replica-directory.ts
@@ -13,12 +13,12 @@
   type ReplicaEntry,
 } from './replica-entry.js';
 
-/** A replica with no report for this long is forgotten. Milliseconds. */
+/** A replica without a report or heartbeat for this long is forgotten. Milliseconds. */
 export const FORGET_AFTER_MS = 120_000;
 
 /**
- * A replica restored from a disk is forgotten unless it is reported within this time, which covers
- * two of its heartbeats. Milliseconds.
+ * A replica restored from a disk is forgotten without a report or heartbeat within this time, which
+ * covers two of its heartbeats. Milliseconds.
  */
 export const RESTORED_RETENTION_MS = 3_000;
 
@@ -29,7 +29,7 @@
  */
 export const INCARNATION_SILENCE_MS = 5_000;
 
-/** Most known replicas: several times the expected number, and about 20 MB of heap. */
+/** Most known replicas: several times the expected number; this many take 20 MB of heap. */
 const MAXIMUM_ENTRIES = 50_000;
 
 function isRestored({ restored }: ReplicaEntry): boolean {
@@ -43,9 +43,10 @@
 }
 
 /**
- * Returns how long a replica is kept without a report. Milliseconds. A replica that leaves is kept
- * for a while as a tombstone, so that a late heartbeat does not bring it back. A process that
- * receives only changes cannot tell a silent replica from an unchanged one, and keeps both.
+ * Returns how long a replica is kept without a report or heartbeat. Milliseconds. A replica that
+ * leaves is kept for a while as a tombstone, so that a late heartbeat does not bring it back. A
+ * process that receives only changes cannot tell a silent replica from an unchanged one, and keeps
+ * both.
  */
 function retentionMs(kind: DirectoryKind, entry: ReplicaEntry | undefined): number {
   if (entry === undefined || entry.state !== RegisteredState.Ready) return FORGET_AFTER_MS;
@@ -121,7 +122,7 @@
     return this.table.changedAfter(position);
   }
 
-  /** Clock reading of the last report of a replica; -Infinity if there was none. */
+  /** Clock reading of the last report or heartbeat of a replica; -Infinity if there was none. */
   lastHeardAt(replicaId: string): number {
     return this.heardAt.get(replicaId) ?? -Infinity;
   }
@@ -182,8 +183,9 @@
   }
 
   /**
-   * Forgets replicas without a report for {@link FORGET_AFTER_MS}, or {@link RESTORED_RETENTION_MS}
-   * for restored ones. A process that receives only changes keeps ready replicas regardless.
+   * Forgets replicas without a report or heartbeat for {@link FORGET_AFTER_MS}, or
+   * {@link RESTORED_RETENTION_MS} for restored ones. A process that receives only changes keeps all
+   * other ready replicas.
    */
   forgetSilent(): void {
     const now = this.clock.now();
--- a/src/directory/replica-entry.ts
+++ b/src/directory/replica-entry.ts
@@ -39,7 +39,7 @@
    * the clock was set back, so that every process treats it as the later one. 0 when absent.
    */
   readonly generation?: number;
-  /** Restored from a controller's disk after a start, with no report since. */
+  /** Restored from a controller's disk after a start, with no report or heartbeat since. */
   readonly restored?: boolean;
 }
 
--- a/src/directory/replica-store.ts
+++ b/src/directory/replica-store.ts
@@ -23,7 +23,7 @@
 const FILE = 'replicas';
 /** Changes within this time are written together. */
 const WRITE_INTERVAL_MS = 250;
-/** A ready replica without a report for this long is no longer stored. */
+/** A ready replica without a report or heartbeat for this long is no longer stored. */
 const MAXIMUM_STORED_SILENCE_MS = 6_000;
 /** How often the store checks for silent replicas. */
 const SILENCE_CHECK_INTERVAL_MS = 2_000;
@@ -97,7 +97,7 @@
 }
 
 /**
- * Returns the replicas to store. A crashed replica sends no report and must not be restored after a
+ * Returns the replicas to store. A crashed replica sends nothing and must not be restored after a
  * start, so silent replicas are left out; those that leave are kept.
  */
 function entriesToStore({ clock, directory }: ReplicaStoreParts): readonly ReplicaEntry[] {
--- a/src/membership/held-snapshots.ts
+++ b/src/membership/held-snapshots.ts
@@ -1,4 +1,4 @@
-/** Tracks which snapshots a replica holds, from its reports and its replies. */
+/** Tracks which snapshots a replica presumably holds, from its reports and its replies. */
 
 /**
  * How long a reply "not held" takes precedence over a report that lists the snapshot: reports lag
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -16,7 +16,7 @@
 /** Consecutive missed reports after which a replica is used only as a last resort. */
 export const SUSPECT_AFTER_MISSED_REPORTS = 3;
 
-/** Methods that record something return whether the requests that may be sent to the replica changed. */
+/** Methods that may change which requests can be sent to the replica return whether they did. */
 export class ReplicaRecord implements ReplicaView {
   private attemptsInFlight = 0;
   private readonly roomWaiters = new Set<() => void>();
--- a/src/membership/replica-registry.ts
+++ b/src/membership/replica-registry.ts
@@ -42,7 +42,7 @@
 
 /** Runs a poller for each replica; call {@link ReplicaRegistry.stop} to end them. */
 export class ReplicaRegistry implements ReportSink {
-  /** Grows whenever the replicas that may receive requests change; plan caches compare it. */
+  /** Grows whenever the requests that may be sent to any replica change; plan caches compare it. */
   generation = 0;
   /** Emits liveness reports first observed by this router, to be sent to others. */
   readonly ownLivenessReports: Stream<ReplicaSign>;
--- a/test/directory/replica-directory.test.ts
+++ b/test/directory/replica-directory.test.ts
@@ -75,7 +75,7 @@
     expect(directory.changedAfter(position)).toHaveLength(1);
   });
 
-  it('forgets a replica after a long time without a report', async () => {
+  it('forgets a replica after a long time without a report or heartbeat', async () => {
     const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.report(entry());
     directory.report(entry({ replicaId: 'i-2' }));
--- a/test/directory/steady-changes.test.ts
+++ b/test/directory/steady-changes.test.ts
@@ -1,10 +1,11 @@
 /*
  * Guards against stale routes at gateways whose zone has lost its controller while routes change
- * frequently. A controller of another zone waits one second before it sends a document, in case the
- * gateway's preferred controller sends it. It used to restart that delay with each newer version, so
- * changes at most 1.2 s apart were never sent: gateways stayed on version 148 for over 8 s while 19
- * newer versions were acknowledged, and answered 404 for routes added 3 to 4 s earlier. Only versions
- * followed by no other for 1.22 s arrived, 1.22 s after their commit.
+ * frequently. The gateways also follow a controller of another zone, which has every version but
+ * waits one second before it sends a document, in case the preferred controller sends it. It used to
+ * restart that delay with each newer version, so changes at most 1.2 s apart were never sent:
+ * gateways stayed on version 148 for over 8 s while 19 newer versions were acknowledged, and answered
+ * 404 for routes added 3 to 4 s earlier. Only versions followed by no other for 1.22 s arrived,
+ * 1.22 s after their commit.
  */
 import { describe, expect, it } from 'vitest';
 import { DEFAULT_ROLLOUT_OPTIONS } from '../../lab/rollout/rollout-options.js';
