--- a/src/directory/directory-link.ts
+++ b/src/directory/directory-link.ts
@@ -196,7 +196,7 @@
     for (;;) {
       const frame = await connection.receive();
       if (frame === undefined) return;
-      guard.heard();
+      guard.recordReceived();
       const { position, hasReplicas } = this.handleFrame(frame);
       if (position === undefined) continue;
       const documentVersion = this.parts.documentVersion();
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -1,6 +1,6 @@
 /** What a router knows about one replica. */
 import type { BackendReport } from '../model/backend-protocol.js';
-import { supersedes, type ReplicaSign } from '../model/replica-sign.js';
+import { supersedes, type LivenessReport } from '../model/liveness-report.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import type { ReplicaProcess } from '../policies/outlier-ejection.js';
 import type { ReplicaView } from '../policies/replica-selector.js';
@@ -23,7 +23,7 @@
   private readonly latency = new SmoothedValue(LATENCY_WEIGHT);
   private readonly failures = new SmoothedValue(FAILURE_WEIGHT);
   private readonly snapshots = new HeldSnapshots();
-  private livenessReport: ReplicaSign | undefined;
+  private livenessReport: LivenessReport | undefined;
   private firstSeenAt: number;
   private missedReports = 0;
   private lastLoad: { readonly load: number; readonly at: number } | undefined;
@@ -32,7 +32,7 @@
     readonly replica: ReplicaDefinition,
     readonly channel: ReplicaChannel,
     private readonly clock: Clock,
-    lastLivenessReport?: ReplicaSign,
+    lastLivenessReport?: LivenessReport,
   ) {
     this.livenessReport = lastLivenessReport;
     this.firstSeenAt = clock.now();
@@ -59,7 +59,7 @@
     return this.clock.now() - this.firstSeenAt;
   }
 
-  get lastLivenessReport(): ReplicaSign | undefined {
+  get lastLivenessReport(): LivenessReport | undefined {
     return this.livenessReport;
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** Applies a liveness report unless a newer one is known; returns true if it was applied. */
-  applyLivenessReport(report: ReplicaSign): boolean {
+  applyLivenessReport(report: LivenessReport): boolean {
     const known = this.livenessReport;
     if (known !== undefined && !supersedes(report, known)) return false;
     this.livenessReport = report;
--- a/src/membership/replica-registry.ts
+++ b/src/membership/replica-registry.ts
@@ -5,7 +5,7 @@
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
 import type { BackendReport } from '../model/backend-protocol.js';
-import { supersedes, type ReplicaSign } from '../model/replica-sign.js';
+import { supersedes, type LivenessReport } from '../model/liveness-report.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import type { Logger } from '../observability/logger.js';
 import type { RouterFaults } from '../router/router-faults.js';
@@ -45,17 +45,17 @@
   /** Grows whenever the requests that may be sent to any replica change; plan caches compare it. */
   generation = 0;
   /** Emits liveness reports first observed by this router, to be sent to others. */
-  readonly ownLivenessReports: Stream<ReplicaSign>;
-  private readonly emitLivenessReport: (report: ReplicaSign) => void;
+  readonly ownLivenessReports: Stream<LivenessReport>;
+  private readonly emitLivenessReport: (report: LivenessReport) => void;
   private readonly entries = new Map<string, Entry>();
   /** Newest liveness report of each replica that is not, or no longer, in the configuration. */
-  private readonly unconfiguredReports = new Map<string, ReplicaSign>();
+  private readonly unconfiguredReports = new Map<string, LivenessReport>();
 
   constructor(
     private readonly environment: Environment,
     private readonly options: RegistryOptions,
   ) {
-    [this.emitLivenessReport, this.ownLivenessReports] = createAdapter<ReplicaSign>();
+    [this.emitLivenessReport, this.ownLivenessReports] = createAdapter<LivenessReport>();
   }
 
   get(replicaId: string): ReplicaRecord | undefined {
@@ -82,7 +82,7 @@
   }
 
   /** Applies a liveness report from another daemon or the platform list; returns true if it was newer. */
-  applyLivenessReport(report: ReplicaSign): boolean {
+  applyLivenessReport(report: LivenessReport): boolean {
     const record = this.get(report.replicaId);
     if (record === undefined) this.keepUnconfiguredReport(report);
     if (record === undefined || !record.applyLivenessReport(report)) return false;
@@ -129,7 +129,7 @@
     await Promise.all(entries.map(({ record }) => record.channel.close()));
   }
 
-  private keepUnconfiguredReport(report: ReplicaSign): void {
+  private keepUnconfiguredReport(report: LivenessReport): void {
     const known = this.unconfiguredReports.get(report.replicaId);
     if (known !== undefined && !supersedes(report, known)) return;
     this.unconfiguredReports.delete(report.replicaId);
@@ -143,7 +143,7 @@
     const { replicaId } = record.replica;
     const known = record.lastLivenessReport;
     const state = draining ? 'draining' : 'live';
-    const report: ReplicaSign = {
+    const report: LivenessReport = {
       replicaId,
       incarnation,
       state,
