--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -46,7 +46,7 @@
   readonly log: RaftNode;
   readonly machine: ConfigurationStateMachine;
   readonly daemons: DaemonDirectory;
-  readonly signs: SignBoard;
+  readonly livenessReports: SignBoard;
   readonly server: ControlStreamServer;
   readonly exchange: ControllerExchange;
   readonly registration: RegistrationPart;
@@ -74,9 +74,9 @@
   const evacuationOrders = createEvacuationOrders(options, log, evacuations);
   const { logger } = options;
   const quarantineOrders = new QuarantineOrders({ log, register: quarantine, logger });
-  const replicated = { register, evacuations, evacuationOrders, quarantine, quarantineOrders };
-  const registered = { log, ...replicated };
-  const registration = startRegistration(options, registered, traffic);
+  const sectionState = { register, evacuations, evacuationOrders, quarantine, quarantineOrders };
+  const replicatedState = { log, ...sectionState };
+  const registration = startRegistration(options, replicatedState, traffic);
   const stream = startControlStream(options, log, machine);
   const quota = createQuotaServer(options, log, register);
   const parts = { log, machine, registration, evacuationOrders, quarantineOrders, quota };
@@ -94,7 +94,10 @@
   await exchange.stop();
 }
 
-type ControlStreamParts = Pick<ControllerCore, 'daemons' | 'signs' | 'server' | 'exchange'>;
+type ControlStreamParts = Pick<
+  ControllerCore,
+  'daemons' | 'livenessReports' | 'server' | 'exchange'
+>;
 
 function startControlStream(
   { environment, identity, telemetry, faults }: ControllerCoreOptions,
@@ -103,19 +106,28 @@
 ): ControlStreamParts {
   const { clock } = environment;
   const daemons = new DaemonDirectory(clock, faults);
-  const signs = new SignBoard(faults);
+  const livenessReports = new SignBoard(faults);
   const onNews = (): void => exchange.notify();
   const server = new ControlStreamServer(
-    { clock, memberId: identity.name, feed: machine, log, daemons, signs, onNews, faults },
+    {
+      clock,
+      memberId: identity.name,
+      feed: machine,
+      log,
+      daemons,
+      signs: livenessReports,
+      onNews,
+      faults,
+    },
     telemetry,
   );
   const readMembers = (): readonly ReplicatedLogMember[] => log.status().members;
   const onSigns = (): void => server.notify();
   const exchange = new ControllerExchange(
-    { environment, identity, readMembers, daemons, signs, onSigns, faults },
+    { environment, identity, readMembers, daemons, signs: livenessReports, onSigns, faults },
     telemetry,
   );
-  return { daemons, signs, server, exchange };
+  return { daemons, livenessReports, server, exchange };
 }
 
 function createEvacuationOrders(
@@ -145,14 +157,14 @@
 }
 
 /** The replicated state that registrations go with. */
-type ReplicatedParts = Pick<
+type ReplicatedState = Pick<
   RegistrationPartOptions,
   'log' | 'register' | 'evacuations' | 'evacuationOrders' | 'quarantine' | 'quarantineOrders'
 >;
 
 function startRegistration(
   { environment, identity, configuration, logger, telemetry, faults }: ControllerCoreOptions,
-  state: ReplicatedParts,
+  state: ReplicatedState,
   traffic: ZoneTraffic,
 ): RegistrationPart {
   const { automaticMembership, listen, zone, directory } = configuration;
@@ -174,7 +186,7 @@
 }
 
 /** Members of the log do not know each other's zones. */
-function metered(connection: MessageConnection, traffic: ZoneTraffic): MessageConnection {
+function meterConnection(connection: MessageConnection, traffic: ZoneTraffic): MessageConnection {
   return new MeteredConnection(connection, {
     kindOf: () => 'consensus',
     note: (note) => traffic.note('', note),
@@ -203,7 +215,7 @@
       },
       dial: async (peer) => {
         const target = { ...peer, role: 'consensus', connectTimeout: CONNECT_TIMEOUT_MS } as const;
-        return metered(await dial(environment, identity, target), traffic);
+        return meterConnection(await dial(environment, identity, target), traffic);
       },
       faults: raftFaults,
     },
