--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -1,4 +1,7 @@
-/** The parts of a controller that hold its state, started and stopped together. */
+/**
+ * Starts and stops the stateful components of a controller together: the replicated log with its
+ * state machines, and the servers that read from them.
+ */
 import type { ControllerConfiguration } from '../configuration/controller-configuration.js';
 import type { RaftFaults } from '../consensus/raft-faults.js';
 import { RaftNode } from '../consensus/raft-node.js';
@@ -29,7 +32,7 @@
 import type { MemberIdentity } from './member-identity.js';
 import { RegistrationPart, type RegistrationPartOptions } from './registration-part.js';
 
-/** What a core is started with. */
+/** Configuration and dependencies of {@link startControllerCore}. */
 export interface ControllerCoreOptions {
   readonly environment: DurableEnvironment;
   readonly configuration: ControllerConfiguration;
@@ -41,7 +44,7 @@
   readonly raftFaults: RaftFaults;
 }
 
-/** The running parts. */
+/** The running components. */
 export interface ControllerCore {
   readonly log: RaftNode;
   readonly machine: ConfigurationStateMachine;
@@ -53,11 +56,15 @@
   readonly routeDocument: RouteDocumentRegister;
   readonly evacuationOrders: EvacuationOrders;
   readonly quarantineOrders: QuarantineOrders;
-  /** Absent where limits of tenants are not kept. */
+  /** Undefined when the configuration has no tenant quotas. */
   readonly quota: QuotaServer | undefined;
 }
 
-/** @throws DriftwayError when the data folder cannot be read. */
+/**
+ * Starts the log, the servers and the registration part, then restores the stored replicas.
+ *
+ * @throws DriftwayError when the data folder cannot be read.
+ */
 export async function startControllerCore(options: ControllerCoreOptions): Promise<ControllerCore> {
   const machine = new ConfigurationStateMachine();
   const register = new RouteDocumentRegister();
@@ -70,7 +77,8 @@
   ]);
   const traffic = new ZoneTraffic(options.configuration.zone, options.telemetry.registry);
   const log = await startLog(options, new SectionedStateMachine(machine, sections), traffic);
-  // Nothing is awaited between the log and what listens to the state machine.
+  // No await from here until every observer of the state machines is attached: they would miss
+  // entries that the log applies in between.
   const evacuationOrders = createEvacuationOrders(options, log, evacuations);
   const { logger } = options;
   const quarantineOrders = new QuarantineOrders({ log, register: quarantine, logger });
@@ -85,7 +93,10 @@
   return core;
 }
 
-/** Leadership is handed over while the daemons already follow other controllers. */
+/**
+ * Stops the components. The servers stop before the log, so that daemons already follow other
+ * controllers when leadership is transferred.
+ */
 export async function stopControllerCore(core: ControllerCore): Promise<void> {
   const { log, server, exchange, registration } = core;
   await registration.stop();
@@ -156,7 +167,7 @@
   });
 }
 
-/** The replicated state that registrations go with. */
+/** Replicated log, registers and orders that the registration part works on. */
 type ReplicatedState = Pick<
   RegistrationPartOptions,
   'log' | 'register' | 'evacuations' | 'evacuationOrders' | 'quarantine' | 'quarantineOrders'
@@ -185,7 +196,7 @@
   });
 }
 
-/** Members of the log do not know each other's zones. */
+/** Counts consensus traffic without a zone: log members do not know each other's zones. */
 function meterConnection(connection: MessageConnection, traffic: ZoneTraffic): MessageConnection {
   return new MeteredConnection(connection, {
     kindOf: () => 'consensus',
--- a/src/control/controller-daemon.ts
+++ b/src/control/controller-daemon.ts
@@ -1,6 +1,7 @@
 /**
- * The control daemon: one member of the group that agrees on the configuration,
- * the administration API over it, and the stream that puts it in force.
+ * The controller process: one voter or learner of the consensus group that replicates the
+ * configuration, with the administration API that changes it and the control stream that
+ * distributes it to daemons.
  */
 import { createAdministrationHandler } from '../administration/administration-handler.js';
 import type { ControllerConfiguration } from '../configuration/controller-configuration.js';
@@ -31,14 +32,14 @@
 import { evaluateReadiness, type Readiness } from './controller-readiness.js';
 import { PlatformListPoller } from './platform-list-poller.js';
 
-/** All running parts. */
+/** The core, its listeners and the optional poller. */
 interface ControllerParts extends ControllerCore {
   readonly messages: AuthenticatedListener;
   readonly http: HttpListener;
   readonly platformList: PlatformListPoller | undefined;
 }
 
-/** A running controller. */
+/** A started controller; create one with {@link ControllerDaemon.start}. */
 export class ControllerDaemon {
   private stopping = false;
   private parts!: ControllerParts;
@@ -53,9 +54,9 @@
   }
 
   /**
-   * Starts a controller on its data folder.
+   * Starts a controller on its data folder, which is created if missing.
    *
-   * @throws DriftwayError when the folder cannot be read or an address not be listened on.
+   * @throws DriftwayError when the folder cannot be read or an address cannot be listened on.
    */
   static async start(
     environment: DurableEnvironment,
@@ -93,7 +94,10 @@
     return this.parts.messages.address;
   }
 
-  /** Resolves if the controller cannot vouch for its state any more, with the cause. */
+  /**
+   * Resolves with the cause once the log has stopped because of an error, after which this
+   * controller's state is no longer reliable. Stays pending after a planned stop.
+   */
   get failure(): Promise<DriftwayError> {
     return new Promise((resolve) => {
       void this.parts.log.stopped.then((cause) => {
@@ -103,8 +107,8 @@
   }
 
   /**
-   * Planned stop: answers the HTTP requests in flight, sends daemons to other
-   * controllers, hands leadership over, then closes.
+   * Planned stop: completes the HTTP requests in flight, redirects daemons to other controllers,
+   * transfers leadership, then closes. Further calls return at once.
    */
   async stop(): Promise<void> {
     if (this.stopping) return;
@@ -119,7 +123,7 @@
     this.coreOptions.logger.info('controller stopped');
   }
 
-  /** The next start on the folder of a removed member begins as a new one. */
+  /** Marks the folder of a removed member, so that the next start on it joins as a new member. */
   private async discardIfRemoved(): Promise<void> {
     if (this.configuration.automaticMembership === undefined) return;
     const cause = await this.parts.log.stopped;
--- a/src/control/controller-http.ts
+++ b/src/control/controller-http.ts
@@ -1,12 +1,12 @@
-/** The HTTP face of a controller: health and counters, and the administration API for the rest. */
+/** HTTP handler of a controller: health checks, metrics, and the administration API for all other paths. */
 import type { Registry } from 'prom-client';
 import type { HttpHandler, HttpListenOptions, HttpResponse } from '../seams/http.js';
 import type { Readiness } from './controller-readiness.js';
 import { MAXIMUM_COMMAND_BYTES } from '../settings/configuration-command.js';
 
-/** Bounds of the administration listener. */
+/** Limits of the administration listener. Times are in milliseconds. */
 export const CONTROLLER_HTTP_OPTIONS: HttpListenOptions = {
-  // Above what the API takes, so that the API says by how much a body is too large.
+  // Above the API's own limit, so that the API can report the size of a body that is too large.
   maximumBodyBytes: 2 * MAXIMUM_COMMAND_BYTES,
   maximumHeaderBytes: 16_384,
   requestTimeout: 10_000,
@@ -23,7 +23,7 @@
   };
 }
 
-/** Routes one request. */
+/** Creates the handler; health checks and metrics need no token. */
 export function createControllerHandler(
   registry: Registry,
   readReadiness: () => Readiness,
--- a/src/control/controller-readiness.ts
+++ b/src/control/controller-readiness.ts
@@ -1,23 +1,23 @@
-/** Whether a controller can be of use to operators and daemons. */
+/** Readiness check: whether a controller can serve operators and daemons. */
 import { QUORUM_LEASE_MS } from '../control-stream/stream-timing.js';
 
-/** For `/readyz`. */
+/** Response body of `/readyz`. */
 export interface Readiness {
   readonly ready: boolean;
-  /** Why not. */
+  /** Why the controller is not ready; absent when it is. */
   readonly reason?: string;
 }
 
-/** Ages are in milliseconds. */
+/** State of a controller from which its readiness follows. */
 export interface ReadinessInputs {
   readonly stopping: boolean;
-  /** Since a quorum was heard. */
+  /** Time since a quorum last responded. */
   readonly sinceQuorumMs: number;
-  /** Since the state here was known to be the agreed one. */
+  /** Time since the local state was last known to hold everything committed. */
   readonly stateAgeMs: number;
 }
 
-/** The first reason that holds. */
+/** Reports the first reason that applies; in order: stopping, no quorum, outdated state. */
 export function evaluateReadiness({
   stopping,
   sinceQuorumMs,
--- a/src/control/enrolment-messages.ts
+++ b/src/control/enrolment-messages.ts
@@ -1,7 +1,7 @@
-/** Messages by which a controller becomes a member of a running group. */
+/** Messages with which a controller asks to join a running group. */
 import { MessageCodec } from '../protocol/message-codec.js';
 
-/** The sender wants to be taken in. */
+/** Asks the receiver to add the sender as a voter. */
 export interface EnrolMessage {
   readonly kind: 'enrol';
   readonly memberId: string;
@@ -9,15 +9,18 @@
   readonly address: string;
 }
 
-/** What became of it. */
+/** Response to an {@link EnrolMessage}. */
 export interface EnrolledMessage {
   readonly kind: 'enrolled';
   readonly accepted: boolean;
+  /** Why the sender was not added; empty when it was. */
   readonly reason: string;
 }
 
+/** Any message of an enrolment connection. */
 export type EnrolmentMessage = EnrolMessage | EnrolledMessage;
 
+/** Encodes and decodes the messages of an enrolment connection. */
 export const ENROLMENT_CODEC = new MessageCodec<EnrolmentMessage>({
   enrol: {
     tag: 60,
--- a/src/control/enrolment.ts
+++ b/src/control/enrolment.ts
@@ -1,4 +1,4 @@
-/** Takes controllers into the group, and asks to be taken in. */
+/** Enrolment: adds other controllers to the group, and asks other controllers to add this one. */
 import type { RaftNode } from '../consensus/raft-node.js';
 import { SilenceGuard } from '../control-stream/silence-guard.js';
 import type { Logger } from '../observability/logger.js';
@@ -10,12 +10,12 @@
 import { ENROLMENT_CODEC, type EnrolMessage } from './enrolment-messages.js';
 
 const DIAL_TIMEOUT_MS = 600;
-/** Longest wait for the outcome: the learner has to catch up before it gets its vote. */
+/** Maximum wait for a response: the learner has to catch up before it is promoted to voter. */
 const RESPONSE_TIMEOUT_MS = 6_000;
 const RETRY_INTERVAL_MS = 250;
 const MAXIMUM_REASON_LENGTH = 512;
 
-/** Answers one controller that wants to become a member. */
+/** Handles one enrolment request: adds the sender as a learner, promotes it, and responds. */
 export async function serveEnrolment(
   log: RaftNode,
   connection: MessageConnection,
@@ -27,12 +27,12 @@
   if (message.kind !== 'enrol') return;
   const reason = await addVoter(log, message);
   const { memberId, address } = message;
-  logger.info('enrolment asked for', { member: memberId, address, reason });
+  logger.info('enrolment request handled', { member: memberId, address, reason });
   const accepted = reason === '';
   await connection.send(ENROLMENT_CODEC.encode({ kind: 'enrolled', accepted, reason }));
 }
 
-/** Why the member was not taken in; empty when it was. */
+/** Returns why the member could not be added; empty when it is a voter. */
 async function addVoter(log: RaftNode, { memberId, address }: EnrolMessage): Promise<string> {
   try {
     await log.addLearner(memberId, address);
@@ -43,20 +43,20 @@
   }
 }
 
-/** What a controller that wants to become a member needs. */
+/** Dependencies of {@link enrolUntilVoter}. */
 export interface EnrolmentOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly logger: Logger;
   readonly log: RaftNode;
-  /** `host:port` for internal messages. */
+  /** This controller's `host:port` for internal messages. */
   readonly address: string;
-  /** Controllers to ask. */
+  /** Returns the `host:port` of the controllers to ask; read again in each round. */
   readonly controllers: () => readonly string[];
   readonly stopped: AbortSignal;
 }
 
-/** Asks one controller after the other until this one has a vote. */
+/** Asks one controller after the other, in rounds, until this one is a voter or `stopped` aborts. */
 export async function enrolUntilVoter(options: EnrolmentOptions): Promise<void> {
   const { environment, log, stopped, address } = options;
   const { clock } = environment;
@@ -88,9 +88,9 @@
     if (frame === undefined) return;
     const response = ENROLMENT_CODEC.decode(frame, controller);
     if (response.kind === 'enrolled')
-      logger.info('enrolment answered', { controller, ...response });
+      logger.info('enrolment response received', { controller, ...response });
   } catch (error) {
-    logger.warn('enrolment failed', { controller, reason: String(error) });
+    logger.warn('enrolment request failed', { controller, reason: String(error) });
   } finally {
     connection?.close();
   }
--- a/src/control/evacuation-endpoint.ts
+++ b/src/control/evacuation-endpoint.ts
@@ -1,11 +1,15 @@
-/** The calls by which an operator of the platform has zones evacuated: `/v1/evacuations/{zone}`. */
+/**
+ * Unauthenticated HTTP endpoint for evacuation orders: PUT and DELETE on `/v1/evacuations/{zone}`,
+ * and the list of evacuated zones.
+ */
 import { EvacuationRefusedError, type EvacuationOrders } from '../evacuations/evacuation-orders.js';
 import type { HttpRequest, HttpResponse } from '../seams/http.js';
 import { errorResponse, jsonResponse, proposalErrorResponse } from './json-response.js';
 
+/** Path of the list; the path of one zone appends its encoded name. */
 export const EVACUATIONS_PATH = '/v1/evacuations';
 
-/** By the method of the call, whether the zone is evacuated after it. */
+/** Whether the zone is evacuated after a call, by HTTP method. */
 const EVACUATED_AFTER_METHOD: Readonly<Record<string, boolean>> = { PUT: true, DELETE: false };
 
 function orderErrorResponse(error: unknown): HttpResponse {
@@ -19,23 +23,27 @@
   try {
     return decodeURIComponent(path.slice(EVACUATIONS_PATH.length + 1));
   } catch {
-    // Not a valid escape: no zone is named so.
+    // Invalid percent-encoding.
     return undefined;
   }
 }
 
-/** See the module comment. */
+/** Orders are durable when a call responds with 200; lists are linearizable reads. */
 export class EvacuationEndpoint {
   constructor(private readonly orders: EvacuationOrders) {}
 
   async handle({ method, path }: HttpRequest): Promise<HttpResponse> {
     if (path === EVACUATIONS_PATH) {
-      return method === 'GET' ? this.list() : errorResponse(405, 'use GET');
+      return method === 'GET'
+        ? this.list()
+        : errorResponse(405, 'only GET is supported on the list of evacuations');
     }
     const zone = decodeZone(path);
     const isEvacuated = EVACUATED_AFTER_METHOD[method];
-    if (zone === undefined) return errorResponse(400, 'the name of the zone cannot be read');
-    if (isEvacuated === undefined) return errorResponse(405, 'use PUT or DELETE');
+    if (zone === undefined)
+      return errorResponse(400, 'the zone name in the path is not valid percent-encoding');
+    if (isEvacuated === undefined)
+      return errorResponse(405, 'only PUT and DELETE are supported on the evacuation of a zone');
     return this.submitOrder(zone, isEvacuated);
   }
 
@@ -52,7 +60,10 @@
     try {
       return jsonResponse(200, { zones: await this.orders.readZones() });
     } catch (error) {
-      return errorResponse(503, `cannot be sure of the newest: ${String(error)}`);
+      return errorResponse(
+        503,
+        `cannot confirm that the list of evacuated zones is current: ${String(error)}`,
+      );
     }
   }
 }
--- a/src/control/json-response.ts
+++ b/src/control/json-response.ts
@@ -1,4 +1,4 @@
-/** Answers of the calls of replicas and of operators that controllers take without a token. */
+/** Builds responses of the unauthenticated endpoints that replicas and platform operators call. */
 import {
   NoQuorumError,
   NotProposedError,
@@ -6,6 +6,7 @@
 } from '../consensus/consensus-errors.js';
 import type { HttpResponse } from '../seams/http.js';
 
+/** Serializes `content` as the body. */
 export function jsonResponse(status: number, content: object): HttpResponse {
   return {
     status,
@@ -14,11 +15,15 @@
   };
 }
 
+/** Builds a response with the body `{"error": message}`. */
 export function errorResponse(status: number, message: string): HttpResponse {
   return jsonResponse(status, { error: message });
 }
 
-/** The answer to a proposal, or to a read before it, that failed; undefined for any other error. */
+/**
+ * Maps a failed proposal, or a failed read before it: 503 when nothing was proposed, 504 when the
+ * outcome is unknown. Returns undefined for any other error.
+ */
 export function proposalErrorResponse(error: unknown): HttpResponse | undefined {
   const isNotProposed = error instanceof NotProposedError || error instanceof NoQuorumError;
   if (isNotProposed) return errorResponse(503, error.message);
--- a/src/control/member-identity.ts
+++ b/src/control/member-identity.ts
@@ -1,4 +1,4 @@
-/** Which member a controller is, when the group looks after its members by itself. */
+/** Member identity of a controller; derived from its address and data folder under automatic membership. */
 import type { ControllerConfiguration } from '../configuration/controller-configuration.js';
 import type { MemberEndpoint } from '../consensus/member-endpoint.js';
 import type { Address } from '../seams/address.js';
@@ -7,30 +7,30 @@
 import { HardStateStore } from '../storage/hard-state-store.js';
 
 const SUFFIX_BYTES = 4;
-/** Stands between a founding member's name and what tells a later data folder from it. */
+/** Separates the founding member ID of an address from the random suffix of a later data folder. */
 const REPLACEMENT_MARKER = '-x';
 
-/** Who this process is in the group. */
+/** Member ID of this process, and how it enters the group. */
 export interface MemberIdentity {
   readonly memberId: string;
   readonly initialMembers: readonly MemberEndpoint[];
-  /** Waits to be taken into a running group. */
+  /** Whether this process waits until a running group adds it, instead of founding one. */
   readonly join: boolean;
 }
 
-/** The member id of the data folder with which a group began at this address. */
+/** Returns the ID of the member that founds a group at this address. */
 export function foundingMemberId({ host, port }: Address): string {
   return `m-${host.replaceAll(/[^0-9a-zA-Z]/g, '-').toLowerCase()}-${port}`;
 }
 
-/** Whether the id is of a member that was there from the beginning. */
+/** Whether the ID belongs to a founding member, and not to a replacement. */
 export function isFoundingMemberId(memberId: string): boolean {
   return !memberId.includes(REPLACEMENT_MARKER);
 }
 
 /**
- * An id stays with its data folder: a folder that was lost is never mistaken for
- * the one that voted before.
+ * Determines the member ID and the way into the group. An ID is bound to its data folder: a new
+ * folder after a loss gets another ID, so it is never mistaken for the member that voted before.
  *
  * @throws DiskError when the folder cannot be read.
  */
@@ -49,7 +49,7 @@
   const wasDiscarded = await emptyIfDiscarded(environment.disk);
   const stored = await new HardStateStore(environment.disk).load();
   if (stored !== undefined) {
-    // A folder made at the first start may still have to learn that its group began with it.
+    // A founder's folder may date from before the group was founded: it still takes part in that.
     const isOfFounder = stored.memberId === founding && isFounder;
     return { memberId: stored.memberId, initialMembers: founders, join: !isOfFounder };
   }
--- a/src/control/membership-maintenance.ts
+++ b/src/control/membership-maintenance.ts
@@ -1,7 +1,6 @@
 /**
- * Removes members that are not coming back: as long as this controller leads, a
- * silent one goes once a successor has its vote. The group never becomes smaller
- * than it was meant to be.
+ * Removes members that do not come back. While this controller leads, it removes a silent voter
+ * once a replacement is a voter, so the group never shrinks below its intended size.
  */
 import type { RaftNode } from '../consensus/raft-node.js';
 import type { ReplicatedLogMember, ReplicatedLogStatus } from '../consensus/replicated-log.js';
@@ -10,32 +9,32 @@
 import { isFoundingMemberId } from './member-identity.js';
 
 const CHECK_INTERVAL_MS = 250;
-/** A voter that has a successor is removed after this silence. */
+/** A voter that has a replacement is removed after this long without contact. */
 export const VOTER_SILENCE_TIMEOUT_MS = 1_500;
-/** A member that never got its vote is removed after this silence. */
+/** A learner is removed after this long without contact. */
 export const LEARNER_SILENCE_TIMEOUT_MS = 10_000;
 
-/** Voters that the group is meant to have: as many as it was founded with. */
+/** Returns the intended number of voters: as many as the group was founded with. */
 export function intendedVoterCount({ members, retiredIds }: ReplicatedLogStatus): number {
   const ids = [...members.map(({ memberId }) => memberId), ...retiredIds];
   return ids.filter(isFoundingMemberId).length;
 }
 
-/** Whether the group has more voters than it is meant to have. */
+/** Whether the group has more voters than intended, so that one can be removed. */
 export function hasSurplusVoter(status: ReplicatedLogStatus): boolean {
   return status.members.filter(({ voter }) => voter).length > intendedVoterCount(status);
 }
 
 /**
- * Tells for how long members have been silent. A member that was never heard is
- * silent from when this controller, as the leader, first saw it in the group.
+ * Finds members that have been silent for too long. The silence of a member that never made
+ * contact counts from when this controller, as leader, first saw it in the group.
  */
 export class SilenceTracker {
   private readonly firstSeenAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** The member to remove now; undefined for none, and while another controller leads. */
+  /** Returns the member to remove now; undefined when there is none or another controller leads. */
   memberToRemove(status: ReplicatedLogStatus): ReplicatedLogMember | undefined {
     if (status.role !== 'leader') {
       this.firstSeenAt.clear();
@@ -56,7 +55,7 @@
   }
 }
 
-/** Runs until stopped. */
+/** Checks the members at a fixed interval and removes silent ones until `stopped` aborts. */
 export async function maintainMembership(
   clock: Clock,
   log: RaftNode,
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the platform's list of machines at a fixed interval and notes what it
- * says of each replica. Only stated states count: a machine that is missing
- * from the list may be one that a lagging or restarted list does not know yet.
+ * Polls the platform's machine list at a fixed interval and records the listed state of each
+ * replica. Only listed states count: a machine that is missing from the list may be one that a
+ * lagging or restarted list does not know yet.
  */
 import { Counter } from 'prom-client';
 import * as z from 'zod';
@@ -17,10 +17,8 @@
 import type { Environment } from '../seams/environment.js';
 import type { HttpClient } from '../seams/http.js';
 
-/** Path of the list. */
 const MACHINES_PATH = '/machines';
 
-/** Milliseconds. */
 const POLL_INTERVAL_MS = 1_000;
 const POLL_TIMEOUT_MS = 2_000;
 
@@ -31,7 +29,7 @@
   keepAliveTimeout: 10_000,
 };
 
-/** A longer list is not taken. */
+/** A list with more items is rejected as malformed. */
 const MAXIMUM_MACHINES = 100_000;
 
 const machineSchema = z.object({
@@ -41,7 +39,7 @@
 });
 type Machine = z.infer<typeof machineSchema>;
 
-/** Polls until stopped. */
+/** Polls from construction until stopped, and calls `onNewReports` after a poll that changed a state. */
 export class PlatformListPoller {
   private readonly client: HttpClient;
   private readonly stopped = new AbortController();
@@ -59,7 +57,7 @@
     this.client = environment.network.httpClient(address, CLIENT_OPTIONS);
     this.polls = new Counter({
       name: 'driftway_platform_list_polls_total',
-      help: "Readings of the platform's list of machines, by outcome.",
+      help: "Polls of the platform's machine list, by outcome.",
       labelNames: ['outcome'],
       registers: [telemetry.registry],
     });
@@ -90,15 +88,14 @@
     for (const item of machines) {
       const machine = this.parseMachine(item);
       if (machine === undefined) continue;
-      const report = { ...machine, observedBy: PLATFORM_OBSERVER };
-      hasNewReports =
-        this.livenessReports.record({ scope: EVERYWHERE, sign: report }) || hasNewReports;
+      const sign = { ...machine, observedBy: PLATFORM_OBSERVER };
+      hasNewReports = this.livenessReports.record({ scope: EVERYWHERE, sign }) || hasNewReports;
     }
     if (hasNewReports) this.onNewReports();
     return 'read';
   }
 
-  /** An item that cannot be used names no machine; the others of the list hold. */
+  /** Returns undefined for an unusable item, which is counted; the rest of the list stays valid. */
   private parseMachine(item: unknown): Machine | undefined {
     const parsed = machineSchema.safeParse(item);
     if (parsed.success) return parsed.data;
--- a/src/control/quarantine-endpoint.ts
+++ b/src/control/quarantine-endpoint.ts
@@ -1,22 +1,27 @@
 /**
- * The calls by which an operator of the platform sees which requests are suspected or refused
- * because replicas end under them, and lifts that: `/v1/quarantine`, `/v1/quarantine/{fingerprint}`.
+ * Unauthenticated HTTP endpoint for quarantined requests: lists the requests that are suspected or
+ * refused because replicas terminate while executing them (`/v1/quarantine`), and lifts the
+ * quarantine of one (`/v1/quarantine/{fingerprint}`).
  */
 import { UnknownFingerprintError, type QuarantineOrders } from '../quarantine/quarantine-orders.js';
 import type { HttpRequest, HttpResponse } from '../seams/http.js';
 import { errorResponse, jsonResponse, proposalErrorResponse } from './json-response.js';
 
+/** Path of the list; the path of one request appends its fingerprint. */
 export const QUARANTINE_PATH = '/v1/quarantine';
 
-/** See the module comment. */
+/** A quarantine is durably lifted when DELETE responds with 200; lists are linearizable reads. */
 export class QuarantineEndpoint {
   constructor(private readonly orders: QuarantineOrders) {}
 
   async handle({ method, path }: HttpRequest): Promise<HttpResponse> {
     if (path === QUARANTINE_PATH) {
-      return method === 'GET' ? this.list() : errorResponse(405, 'use GET');
+      return method === 'GET'
+        ? this.list()
+        : errorResponse(405, 'only GET is supported on the list of quarantined requests');
     }
-    if (method !== 'DELETE') return errorResponse(405, 'use DELETE');
+    if (method !== 'DELETE')
+      return errorResponse(405, 'only DELETE is supported on a quarantined request');
     return this.lift(path.slice(QUARANTINE_PATH.length + 1));
   }
 
@@ -36,7 +41,10 @@
     try {
       return jsonResponse(200, { requests: await this.orders.read() });
     } catch (error) {
-      return errorResponse(503, `cannot be sure of the newest: ${String(error)}`);
+      return errorResponse(
+        503,
+        `cannot confirm that the list of quarantined requests is current: ${String(error)}`,
+      );
     }
   }
 }
--- a/src/control/read-heartbeat.ts
+++ b/src/control/read-heartbeat.ts
@@ -1,12 +1,12 @@
-/** Reads what a replica says of itself. */
+/** Parses and validates the heartbeats that replicas send. */
 import * as z from 'zod';
 import { RegisteredState, type ReplicaEntry } from '../directory/replica-entry.js';
 import { UnusableReason } from '../observability/unusable-entries.js';
 import { parseAddress } from '../seams/address.js';
 
-/** Longest id that is kept. Characters. */
+/** Maximum length of a replica ID, in characters. */
 const MAXIMUM_ID_LENGTH = 255;
-/** No replica stays cold for longer than a day; more is a mistake. Milliseconds. */
+/** One day: no replica stays cold for longer, so a higher value is an error of the sender. */
 const MAXIMUM_WARMUP_MS = 86_400_000;
 
 function isDialableAddress(text: string): boolean {
@@ -17,10 +17,14 @@
   }
 }
 
-/** Fields that are not known are ignored. */
+/** Unknown fields are ignored. */
 const heartbeatSchema = z.object({
   service: z.string().min(1).max(255),
-  address: z.string().min(3).max(255).refine(isDialableAddress, 'not host:port'),
+  address: z
+    .string()
+    .min(3)
+    .max(255)
+    .refine(isDialableAddress, 'must be host:port with a port above 0'),
   zone: z.string().max(255).default(''),
   capacity: z.int().min(0).default(1),
   state: z.enum([RegisteredState.Ready, RegisteredState.Draining]),
@@ -30,12 +34,13 @@
   born: z.int().min(0).optional(),
 });
 
-/** A heartbeat that was not understood; `field` is the first that does not fit. */
+/** Why a heartbeat is unusable; `field` is the first invalid field. */
 export interface UnusableHeartbeat {
   readonly reason: UnusableReason;
   readonly field?: string;
 }
 
+/** A valid entry, or the reason why there is none. */
 export type HeartbeatResult =
   { readonly entry: ReplicaEntry } | { readonly problem: UnusableHeartbeat };
 
@@ -47,7 +52,7 @@
   }
 }
 
-/** The entry that the bytes give of the replica, or why they give none. */
+/** Parses the body of a heartbeat into the replica's entry; reports invalid input and never throws. */
 export function readHeartbeat(replicaId: string, body: Uint8Array): HeartbeatResult {
   if (replicaId === '' || replicaId.length > MAXIMUM_ID_LENGTH) {
     return { problem: { reason: UnusableReason.BadField, field: 'id' } };
--- a/src/control/registration-endpoint.ts
+++ b/src/control/registration-endpoint.ts
@@ -1,6 +1,7 @@
 /**
- * The calls of replicas, which register themselves, and of the operator of the
- * route document. Not authenticated: for networks that only they can reach.
+ * HTTP endpoint for the heartbeats and deregistrations of replicas, for the route document, and
+ * for evacuations and quarantined requests. Not authenticated: listen only on networks that
+ * replicas and platform operators alone can reach.
  */
 import { SectionTag, sectionCommand } from '../consensus/sectioned-state-machine.js';
 import type { ReplicatedLog } from '../consensus/replicated-log.js';
@@ -28,12 +29,12 @@
 const REPLICAS_PATH = '/v1/replicas/';
 const ROUTES_PATH = '/v1/routes';
 
-/** Longest wait for a quorum of controllers to hold that a replica leaves. Milliseconds. */
+/** Maximum wait until a quorum of controllers holds that a replica is leaving. */
 const LEAVE_QUORUM_TIMEOUT_MS = 800;
-/** Longest further wait for the gateways that are connected here. Milliseconds. */
+/** Maximum further wait for gateways: those connected here, and those of connected controllers. */
 const LEAVE_GATEWAYS_TIMEOUT_MS = 150;
 
-/** What the endpoint works on. */
+/** Dependencies of {@link RegistrationEndpoint}. */
 export interface RegistrationEndpointOptions {
   readonly log: ReplicatedLog;
   readonly register: RouteDocumentRegister;
@@ -45,14 +46,14 @@
   readonly logger: Logger;
 }
 
-/** Characters of an id that a line shows. */
+/** Maximum length of an unvalidated replica ID in a log line, in characters. */
 const MAXIMUM_LOGGED_ID_LENGTH = 64;
 
 function truncateId(replicaId: string): string {
   return replicaId.slice(0, MAXIMUM_LOGGED_ID_LENGTH);
 }
 
-/** The id that ends the path; undefined when its encoding is broken. */
+/** Decodes the replica ID at the end of the path; undefined for invalid percent-encoding. */
 function decodeReplicaId(path: string): string | undefined {
   try {
     return decodeURIComponent(path.slice(REPLICAS_PATH.length));
@@ -61,7 +62,7 @@
   }
 }
 
-/** See the module comment. */
+/** Routes each request by path; a stateless handler over {@link RegistrationEndpointOptions}. */
 export class RegistrationEndpoint {
   constructor(private readonly options: RegistrationEndpointOptions) {}
 
@@ -76,10 +77,11 @@
     if (path === QUARANTINE_PATH || path.startsWith(`${QUARANTINE_PATH}/`)) {
       return this.options.quarantine.handle(request);
     }
-    if (path !== ROUTES_PATH) return errorResponse(404, 'no such path');
+    if (path !== ROUTES_PATH)
+      return errorResponse(404, 'this path does not exist on the registration listener');
     if (method === 'PUT') return this.putRoutes(request.body);
     if (method === 'GET') return this.getRoutes();
-    return errorResponse(405, 'use PUT or GET');
+    return errorResponse(405, 'only PUT and GET are supported on the route document');
   }
 
   private async handleReplicaRequest(
@@ -87,30 +89,37 @@
     replicaId: string | undefined,
     body: Uint8Array,
   ): Promise<HttpResponse> {
-    if (method !== 'PUT' && method !== 'DELETE') return errorResponse(405, 'use PUT or DELETE');
+    if (method !== 'PUT' && method !== 'DELETE')
+      return errorResponse(405, 'only PUT and DELETE are supported on a replica');
     if (replicaId === undefined) {
       this.options.unusable.note(EntrySource.Heartbeat, UnusableReason.Unreadable, { field: 'id' });
-      return errorResponse(400, 'not a replica id');
+      return errorResponse(400, 'the replica ID in the path is not valid percent-encoding');
     }
     return method === 'PUT'
       ? this.handleHeartbeat(replicaId, body)
       : this.handleDeregistration(replicaId);
   }
 
-  /** One that cannot be used changes nothing of the replica's entry, and does not keep it. */
+  /** An unusable heartbeat neither changes the replica's entry nor keeps it from expiring. */
   private async handleHeartbeat(replicaId: string, body: Uint8Array): Promise<HttpResponse> {
     const { directory, server, unusable, logger } = this.options;
     const result = readHeartbeat(replicaId, body);
     if ('problem' in result) {
       const { reason, field } = result.problem;
       unusable.note(EntrySource.Heartbeat, reason, { replicaId: truncateId(replicaId), field });
-      return errorResponse(400, `not a heartbeat: ${field ?? reason}`);
+      return errorResponse(
+        400,
+        `the body is not a valid heartbeat, first problem: ${field ?? reason}`,
+      );
     }
     const { entry } = result;
     const { isCurrent, isNews } = directory.hear(entry);
     if (directory.find(replicaId) === undefined) {
       unusable.note(EntrySource.Heartbeat, UnusableReason.TooMany, { replicaId });
-      return errorResponse(503, 'too many replicas');
+      return errorResponse(
+        503,
+        'the replica is not registered: the maximum number of replicas is reached',
+      );
     }
     if (isCurrent) server.noteHeard(replicaId);
     if (isNews) {
@@ -137,8 +146,9 @@
   }
 
   /**
-   * Only once a quorum of the controllers holds it: any gateway that is not cut
-   * off hears it from one of them, also when this controller is cut off.
+   * Acknowledges that a replica is leaving only once a quorum of the controllers holds it: any
+   * gateway that is not partitioned then learns it from one of them, even when this controller is
+   * partitioned.
    */
   private async acknowledgeLeaving(replicaId: string): Promise<HttpResponse> {
     const { directory, server, log, logger } = this.options;
@@ -154,8 +164,14 @@
         voters.filter((voter) => voter === memberId || controllers.has(voter)).length >= quorum,
     );
     if (!isHeldByQuorum) {
-      logger.warn('leaving not acknowledged', { replicaId, reason: 'no quorum holds it' });
-      return errorResponse(503, 'no quorum of the controllers holds it yet');
+      logger.warn('leaving replica not acknowledged', {
+        replicaId,
+        reason: 'no quorum of the controllers confirmed it in time',
+      });
+      return errorResponse(
+        503,
+        'no quorum of the controllers has confirmed yet that the replica is leaving',
+      );
     }
     await server.waitConfirmed(
       position,
@@ -165,7 +181,7 @@
     return jsonResponse(200, {});
   }
 
-  /** Invalid documents are refused whatever their version. */
+  /** Proposes the document if its version is new; refuses invalid documents whatever their version. */
   private async putRoutes(body: Uint8Array): Promise<HttpResponse> {
     const { register, log, logger } = this.options;
     try {
@@ -198,16 +214,20 @@
     return response;
   }
 
-  /** The newest that was ever acknowledged, or an error; never an older one. */
+  /** Linearizable read: the newest acknowledged document or an error, never an older document. */
   private async getRoutes(): Promise<HttpResponse> {
     const { log, register } = this.options;
     try {
       await log.readBarrier();
     } catch (error) {
-      return errorResponse(503, `cannot be sure of the newest: ${String(error)}`);
+      return errorResponse(
+        503,
+        `cannot confirm that the route document is current: ${String(error)}`,
+      );
     }
     const document = register.current();
-    if (document === undefined) return errorResponse(503, 'no route document yet');
+    if (document === undefined)
+      return errorResponse(503, 'no route document has been accepted yet');
     return {
       status: 200,
       headers: { 'content-type': 'application/json' },
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -1,7 +1,7 @@
 /**
- * The part of a controller that knows the replicas and the route document: takes
- * registrations, tells gateways and the other controllers, and keeps the group's
- * members when they are looked after automatically.
+ * The part of a controller that holds the replica directory and serves the route document: it
+ * accepts registrations, distributes them to gateways and other controllers, and maintains the
+ * group's members when automatic membership is configured.
  */
 import type { Registry } from 'prom-client';
 import type { RouteTracker } from '../administration/route-tracker.js';
@@ -51,21 +51,21 @@
   maximumConnections: 2_000,
   idleTimeout: 20_000,
 };
-/** How often members of the group and silent replicas are looked at. */
+/** Interval of the checks for group members, silent replicas and gateways that lack routes. */
 const MAINTENANCE_INTERVAL_MS = 250;
-/** Longest time that a planned stop waits to be taken out of the group. */
+/** Maximum time that a planned stop waits until this member is removed from the group. */
 const LEAVE_GROUP_TIMEOUT_MS = 1_000;
-/** A gateway that confirms later is cut off or overloaded, and its connection is closed soon. */
+/** A gateway that takes longer is partitioned or overloaded, and its connection is closed soon. */
 const RELAY_TIMEOUT_MS = 2_000;
 /**
- * After so long a barrier that confirms routes to gateways is begun anew: the old one may wait for
- * a leader that is gone, while another already leads.
+ * A read barrier that confirms route versions is abandoned after this time and begun anew: it may
+ * wait for a leader that is gone while another already leads.
  */
 const CONFIRMATION_TIMEOUT_MS = 500;
-/** Told as the age while records that are committed are missing here. */
+/** Reported as the age while committed records are missing here, and the maximum of all ages. */
 const UNKNOWN_AGE_MS = 1e9;
 
-/** What the part is made of. */
+/** Dependencies and configuration of {@link RegistrationPart}. */
 export interface RegistrationPartOptions {
   readonly environment: DurableEnvironment;
   readonly identity: LocalIdentity;
@@ -81,19 +81,19 @@
   readonly faults: ControlStreamFaults;
   readonly zone: string;
   readonly compressBetweenZones: boolean;
-  /** `host:port` for internal messages. */
+  /** This controller's `host:port` for internal messages. */
   readonly ownAddress: string;
-  /** Controllers by which the group is found; absent when members are looked after by hand. */
+  /** `host:port` of the controllers to enrol with; absent when operators manage the members. */
   readonly seeds?: readonly string[];
 }
 
-/** See the module comment. */
+/** Serves from construction on; call {@link RegistrationPart.restore} once before listening. */
 export class RegistrationPart implements RouteTracker {
   private readonly directory: ReplicaDirectory;
   private readonly server: DirectoryServer;
   private readonly client: DirectoryClient;
   private readonly endpoint: RegistrationEndpoint;
-  /** Entries of other writers that cannot be used, of this controller. */
+  /** Counts the unusable entries of other writers that this controller received. */
   readonly unusable: UnusableEntries;
   private readonly routeHistory = new VersionHistory();
   private readonly routeLag: RouteLagWatch;
@@ -172,7 +172,7 @@
     if (options.seeds !== undefined) this.startMembership(options.seeds);
   }
 
-  /** Reads back the replicas known before, and keeps them stored from now on. */
+  /** Restores the replicas from disk, then stores changes in the background until stopped. */
   async restore(): Promise<void> {
     const { environment, logger } = this.options;
     const { clock, disk } = environment;
@@ -183,7 +183,11 @@
     void storeReplicas(storeParts);
   }
 
-  /** @throws ConnectionError when the address cannot be listened on. */
+  /**
+   * Opens the registration listener.
+   *
+   * @throws ConnectionError when the address cannot be listened on.
+   */
   async listen(address: Address): Promise<void> {
     const { network } = this.options.environment;
     this.listener = await network.listenHttp(address, LISTEN_OPTIONS, (request) =>
@@ -199,7 +203,10 @@
     return serveEnrolment(this.options.log, connection, this.options.logger);
   }
 
-  /** Planned stop, first half: no more calls, and out of a group that has a successor already. */
+  /**
+   * First step of a planned stop: accepts no more calls, and under automatic membership leaves a
+   * group that already has a replacement voter.
+   */
   async close(): Promise<void> {
     this.server.stop();
     const { log, environment, seeds } = this.options;
@@ -210,7 +217,7 @@
     await this.listener?.close();
   }
 
-  /** Planned stop, second half. */
+  /** Second step of a planned stop, after {@link RegistrationPart.close}: ends the background tasks. */
   async stop(): Promise<void> {
     this.stopped.abort(new Error('stopped'));
     await this.client.stop();
@@ -246,7 +253,7 @@
     });
   }
 
-  /** Waits until the gateways that follow this controller hold what it knows now. */
+  /** Resolves to whether the gateways that follow this controller hold its current entries in time. */
   private relay(): Promise<boolean> {
     return this.server.waitConfirmed(
       this.directory.position,
@@ -269,7 +276,10 @@
     this.routeHistory.record(document.version, this.options.environment.clock.now());
   }
 
-  /** See `StatusMessage.ageMs`. */
+  /**
+   * Time since a quorum last responded, for `StatusMessage.ageMs`; {@link UNKNOWN_AGE_MS} while
+   * committed records are missing here.
+   */
   private ageMs(): number {
     const { sinceQuorumMs, knownCommitIndex, appliedIndex } = this.options.log.status();
     const lacksRecords = appliedIndex < knownCommitIndex;
--- a/test/control/automatic-group.ts
+++ b/test/control/automatic-group.ts
@@ -1,4 +1,4 @@
-/** Controllers that look after their group by themselves, in the simulation. */
+/** Test fixture: a simulated group of controllers with automatic membership. */
 import { Registry } from 'prom-client';
 import { expect } from 'vitest';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
@@ -16,7 +16,7 @@
 export const MESSAGE_PORT = 7500;
 export const REGISTRATION_PORT = 7600;
 const HTTP_PORT = 7400;
-/** In which a group settles after whatever happened to it. Milliseconds. */
+/** Time in which a group recovers from any fault of these tests. */
 export const SETTLE_MS = 15_000;
 
 const CLIENT_OPTIONS = {
@@ -26,7 +26,7 @@
   keepAliveTimeout: 1_000,
 };
 
-/** The smallest valid route document of a version. */
+/** Returns a minimal valid route document, as JSON. */
 export function routeDocument(version: number, host = 'desk.example'): string {
   return JSON.stringify({
     version,
@@ -45,17 +45,17 @@
   });
 }
 
-/** What controllers of a group are started with. */
+/** Options of the controllers of a group. */
 export interface AutomaticGroupOptions {
-  /** Silent when absent. */
+  /** Nothing is logged when absent. */
   readonly logger?: Logger | undefined;
-  /** As the controllers' settings name it. */
+  /** The `tenants` section of the controllers' configuration. */
   readonly tenants?: object | undefined;
-  /** Defects of the controllers. */
+  /** Defects that the controllers are run with. */
   readonly faults?: ControlStreamFaults | undefined;
 }
 
-/** A group of controllers, its machines and an operator. */
+/** A group of controllers, its machines and an operator's machine. */
 export class AutomaticGroup {
   readonly simulation: Simulation;
   readonly operator: SimulatedMachine;
@@ -72,7 +72,7 @@
     this.operator = this.simulation.createMachine('operator', 'operators');
   }
 
-  /** Starts `founders` controllers for the first time, of which the first three are the seeds. */
+  /** Starts `founderCount` controllers for the first time; the first three of them are the seeds. */
   static async start(
     founderCount: number,
     seed = 7,
@@ -123,7 +123,7 @@
     this.daemons.set(machine, await this.simulation.settle(daemon));
   }
 
-  /** What the process that was started last on a machine counts. */
+  /** Returns the metrics of the process that was last started on a machine. */
   registryOf(machine: SimulatedMachine): Registry {
     return this.registries.get(machine) ?? expect.fail(`nothing started on ${machine.name}`);
   }
@@ -143,7 +143,7 @@
     return this.simulation.settle(this.send(machine, method, path, body));
   }
 
-  /** As {@link AutomaticGroup.call}, not yet settled. */
+  /** As {@link AutomaticGroup.call}, but does not run the simulation until the response arrives. */
   send(
     machine: SimulatedMachine,
     method: string,
--- a/test/control/automatic-membership.test.ts
+++ b/test/control/automatic-membership.test.ts
@@ -2,16 +2,16 @@
 import { AutomaticGroup, SETTLE_MS, routeDocument } from './automatic-group.js';
 
 describe('automatic membership', () => {
-  it('takes in a founder that is no seed', async () => {
+  it('adds a founder that is not a seed as a voter', async () => {
     const group = await AutomaticGroup.start(4);
     expect((await group.putRoutes(group.machineAt(3), routeDocument(1))).status).toBe(200);
-    // Three voters are a majority of four; with only three voters two would do.
+    // Of four voters, all remaining three are needed; of three voters, two would be enough.
     group.machineAt(0).crash();
     await group.simulation.runFor(SETTLE_MS);
     expect(await group.readRoutes(group.machineAt(3))).toBe(routeDocument(1));
   });
 
-  it('keeps what was acknowledged when one disk is lost and all others lose power', async () => {
+  it('keeps acknowledged documents when one disk is lost and all other controllers lose power', async () => {
     const group = await AutomaticGroup.start(3);
     expect((await group.putRoutes(group.machineAt(0), routeDocument(5))).status).toBe(200);
     await group.restart(group.machineAt(0), false);
@@ -22,7 +22,7 @@
     expect((await group.putRoutes(group.machineAt(0), routeDocument(6))).status).toBe(200);
   });
 
-  it('replaces the lost disks of all members, one after the other', async () => {
+  it('replaces the members whose disks are lost one after the other', async () => {
     const group = await AutomaticGroup.start(3);
     expect((await group.putRoutes(group.machineAt(0), routeDocument(5))).status).toBe(200);
     for (const index of [0, 1, 2, 0]) {
@@ -32,19 +32,19 @@
     expect(await group.readRoutes(group.machineAt(1))).toBe(routeDocument(5));
   });
 
-  it('replaces a machine that is gone by an empty one at another address', async () => {
+  it('replaces a lost machine by an empty one at another address', async () => {
     const group = await AutomaticGroup.start(3);
     expect((await group.putRoutes(group.machineAt(0), routeDocument(5))).status).toBe(200);
     group.machineAt(2).crash();
     await group.startOn(group.addMachine());
     await group.simulation.runFor(SETTLE_MS);
-    // Only with the new one as a voter do two of three remain.
+    // A majority of two remains only if the new machine is a voter.
     group.machineAt(1).crash();
     await group.simulation.runFor(SETTLE_MS);
     expect(await group.readRoutes(group.machineAt(3))).toBe(routeDocument(5));
   });
 
-  it('takes a member that was removed while it was away in again, as a new one', async () => {
+  it('readmits a member that was removed during its absence, as a new member', async () => {
     const group = await AutomaticGroup.start(3);
     group.machineAt(2).crash();
     await group.startOn(group.addMachine());
@@ -60,7 +60,7 @@
 });
 
 describe('route document', () => {
-  it('is read back as it was sent, by its highest version', async () => {
+  it('is read back byte for byte in its highest version', async () => {
     const group = await AutomaticGroup.start(3);
     const [first, second, third] = group.machines;
     if (first === undefined || second === undefined || third === undefined) expect.fail();
@@ -72,7 +72,7 @@
     expect(await group.readRoutes(first)).toBe(routeDocument(4));
   });
 
-  it('refuses what is invalid, whatever its version', async () => {
+  it('is refused when it is invalid, whatever its version', async () => {
     const group = await AutomaticGroup.start(3);
     const machine = group.machineAt(0);
     expect((await group.putRoutes(machine, routeDocument(3))).status).toBe(200);
@@ -86,7 +86,7 @@
     expect(await group.readRoutes(machine)).toBe(routeDocument(3));
   });
 
-  it('is not read from a controller that cannot be sure of the newest', async () => {
+  it('is not served by a controller that cannot confirm that it is current', async () => {
     const group = await AutomaticGroup.start(3);
     expect((await group.putRoutes(group.machineAt(0), routeDocument(3))).status).toBe(200);
     group.machineAt(1).crash();
--- a/test/control/controller-daemon.test.ts
+++ b/test/control/controller-daemon.test.ts
@@ -66,7 +66,7 @@
   });
 }
 
-/** Sets one key, as an operator would; makes revision `revision`. */
+/** Sets one key as an operator does, which creates revision `revision`. */
 async function acceptRevision(daemon: ControllerDaemon, revision: number): Promise<void> {
   const response = await request(daemon, '/v1/changes', {
     changeId: `change-${revision}`,
@@ -78,7 +78,7 @@
   expect(response.status, await response.clone().text()).toBe(200);
 }
 
-/** Resolves once `revision` is in force at the daemon. */
+/** Resolves once `revision` is in force at the daemon of `source`. */
 function waitUntilInForce(source: ConfigurationSource, revision: number): Promise<void> {
   return new Promise((resolve) => {
     const check = (): void => {
@@ -92,8 +92,8 @@
 }
 
 /**
- * Resolves once the controller's metrics hold `line`. On a busy machine the
- * stream may break and come back between any two moments.
+ * Resolves once the controller's metrics contain `line`. Polls, because on a busy machine the
+ * stream may break and reconnect at any time.
  */
 async function waitForMetricLine(daemon: ControllerDaemon, line: string): Promise<void> {
   let text: string;
@@ -112,7 +112,7 @@
 });
 
 describe('ControllerDaemon', () => {
-  it('puts an accepted change in force at a daemon, and tells that it is', async () => {
+  it('puts an accepted change in force at a daemon and shows it in its metrics', async () => {
     const controller = await startController();
     const client = startClient(controller);
     await waitUntilInForce(client, 0);
@@ -123,7 +123,7 @@
     await waitForMetricLine(controller, 'driftway_control_stream_subscribers 1');
   });
 
-  it('comes back with what was last accepted, and daemons find it again', async () => {
+  it('restarts with the last accepted revision, and daemons reconnect to it', async () => {
     const first = await startController();
     const client = startClient(first);
     for (let revision = 1; revision <= 300; revision += 1) await acceptRevision(first, revision);
--- a/test/control/controller-group.test.ts
+++ b/test/control/controller-group.test.ts
@@ -17,7 +17,7 @@
 });
 
 describe('a group of controllers', () => {
-  it('puts a change accepted at any of them in force everywhere, and each tells so', async () => {
+  it('puts a change accepted by any controller in force everywhere, as each of them reports', async () => {
     const { hosts, simulation } = group;
     const daemons = ZONES.map((zone, index) => group.startDaemon(`router-${index + 1}`, zone));
     await simulation.runFor(IN_FORCE_WITHIN_MS);
@@ -31,27 +31,30 @@
     }
   });
 
-  it.each([0, 1, 2])('loses no daemon to controller %i cut off in silence', async (index) => {
-    const { simulation } = group;
-    const cut = group.hostAt(index);
-    const daemon = group.startDaemon('router-1', cut.zone);
-    await simulation.runFor(IN_FORCE_WITHIN_MS);
-    expect(daemon.client.source).toBe(cut.name);
-    group.cutMachine(cut);
-    await simulation.runFor(IN_FORCE_WITHIN_MS);
-    await group.accept((index + 1) % ZONES.length, 1);
-    await simulation.runFor(IN_FORCE_WITHIN_MS);
-    expect(daemon.revisions).toEqual([0, 1]);
-    expect(daemon.fresh).toBe(true);
-    simulation.healAll();
-    await simulation.runFor(60_000);
-    expect(daemon.client.source).toBe(cut.name);
-    await group.accept(index, 2);
-    await simulation.runFor(IN_FORCE_WITHIN_MS);
-    expect(daemon.revisions).toEqual([0, 1, 2]);
-  });
+  it.each([0, 1, 2])(
+    'keeps daemons up to date while controller %i is silently partitioned',
+    async (index) => {
+      const { simulation } = group;
+      const cut = group.hostAt(index);
+      const daemon = group.startDaemon('router-1', cut.zone);
+      await simulation.runFor(IN_FORCE_WITHIN_MS);
+      expect(daemon.client.source).toBe(cut.name);
+      group.cutMachine(cut);
+      await simulation.runFor(IN_FORCE_WITHIN_MS);
+      await group.accept((index + 1) % ZONES.length, 1);
+      await simulation.runFor(IN_FORCE_WITHIN_MS);
+      expect(daemon.revisions).toEqual([0, 1]);
+      expect(daemon.fresh).toBe(true);
+      simulation.healAll();
+      await simulation.runFor(60_000);
+      expect(daemon.client.source).toBe(cut.name);
+      await group.accept(index, 2);
+      await simulation.runFor(IN_FORCE_WITHIN_MS);
+      expect(daemon.revisions).toEqual([0, 1, 2]);
+    },
+  );
 
-  it('comes back from a kill of all of them with what was last accepted', async () => {
+  it('restarts with the last accepted revision after all controllers are killed', async () => {
     const { hosts, simulation } = group;
     const daemon = group.startDaemon('router-1', 'nayoro');
     for (let revision = 1; revision <= 20; revision += 1) await group.accept(1, revision);
@@ -64,7 +67,7 @@
     expect(late.client.current()).toEqual(daemon.client.current());
   });
 
-  it('sends daemons to another controller on a planned stop, with no gap in freshness', async () => {
+  it('moves daemons to another controller on a planned stop without their becoming stale', async () => {
     const { simulation } = group;
     const daemon = group.startDaemon('router-1', 'nayoro');
     await simulation.runFor(IN_FORCE_WITHIN_MS);
@@ -83,7 +86,7 @@
     expect(daemon.revision).toBe(1);
   });
 
-  it("streams the differences of the platform's list to daemons as signs", async () => {
+  it("streams changes in the platform's machine list to daemons as liveness reports", async () => {
     const { operator, simulation } = group;
     const list = await simulation.settle(
       PlatformList.start(operator.environment, {
--- a/test/control/controller-group.ts
+++ b/test/control/controller-group.ts
@@ -1,4 +1,4 @@
-/** Controllers of three zones in the simulation, their daemons, and an operator. */
+/** Test fixture: a simulated group of three controllers in three zones, daemons and an operator. */
 import { Registry } from 'prom-client';
 import { expect } from 'vitest';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
@@ -18,7 +18,7 @@
 export const ZONES = ['asahikawa-a', 'nayoro', 'wakkanai'];
 export const CLUSTER = { id: 'dohoku', key: 'a-long-random-secret' };
 export const PLATFORM_PORT = 7600;
-/** Stated in docs/design/control-stream.md. */
+/** Upper bound for a change to come into force, from docs/design/control-stream.md. */
 export const IN_FORCE_WITHIN_MS = 7_000;
 export const ELECTION_MS = 10_000;
 
@@ -37,7 +37,7 @@
   return { logger: SILENT_LOGGER, registry: new Registry() };
 }
 
-/** A daemon's end of the stream, and what it put in force. */
+/** A daemon's control stream client, and what the stream delivered. */
 export class GroupDaemon {
   readonly client: ControlStreamClient;
   /** Every revision put in force, in order. */
@@ -71,7 +71,7 @@
   }
 }
 
-/** One controller a zone. */
+/** A group with one controller in each zone. */
 export class ControllerGroup {
   readonly simulation = new Simulation(SEED);
   readonly operator = this.simulation.createMachine('operator', 'operators');
@@ -82,7 +82,7 @@
 
   private constructor(private readonly faults: ControlStreamFaults) {}
 
-  /** A group that has a leader. */
+  /** Starts a group and waits until it has a leader. */
   static async start(faults: ControlStreamFaults = {}): Promise<ControllerGroup> {
     const group = new ControllerGroup(faults);
     for (const index of ZONES.keys()) await group.startController(index);
@@ -102,7 +102,7 @@
     return this.hosts[index] ?? expect.fail(`no controller ${index}`);
   }
 
-  /** Starts the process of one controller on what its disk holds. */
+  /** Starts the process of one controller on the content of its disk. */
   async startController(index: number): Promise<void> {
     const host = this.hostAt(index);
     const members = this.endpoints.map(({ address, ...endpoint }) => ({
@@ -148,7 +148,7 @@
     return JSON.parse(text) as T;
   }
 
-  /** Gets operations accepted through one controller; makes revision `revision`. */
+  /** Submits operations to one controller, which creates revision `revision`. */
   acceptOperations(index: number, revision: number, operations: Operation[]): Promise<unknown> {
     return this.request(this.hostAt(index), '/v1/changes', {
       changeId: `change-${revision}`,
@@ -159,7 +159,7 @@
     });
   }
 
-  /** Sets one key through one controller; makes revision `revision`. */
+  /** Sets one key through one controller, which creates revision `revision`. */
   accept(index: number, revision: number): Promise<unknown> {
     const operation = { type: 'set', scope: 'defaults', key: 'queueLimit', value: revision };
     return this.acceptOperations(index, revision, [operation as Operation]);
@@ -173,7 +173,7 @@
     return this.request(this.hostAt(index), '/v1/status');
   }
 
-  /** Cuts a zone off from the other two in silence; the operator still reaches all. */
+  /** Silently partitions a zone from the other two; the operator still reaches all zones. */
   cutZone(zone: string): void {
     for (const other of ZONES.filter((otherZone) => otherZone !== zone)) {
       this.simulation.cut({ from: { zone }, to: { zone: other } });
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Cuts a machine off from everything but its own zone's machines, in silence. */
+  /** Silently partitions a machine from all other zones; machines of its own zone still reach it. */
   cutMachine({ name, zone }: SimulatedMachine): void {
     for (const other of ZONES.filter((otherZone) => otherZone !== zone)) {
       this.simulation.cut({ from: { machine: name }, to: { zone: other } });
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Index of the controller that leads. */
+  /** Index of the leader. */
   async leaderIndex(): Promise<number> {
     const { leaderId } = await this.status(0);
     return this.hosts.findIndex(({ name }) => name === leaderId);
--- a/test/control/cuts-and-restarts.test.ts
+++ b/test/control/cuts-and-restarts.test.ts
@@ -10,7 +10,7 @@
 const CHECK_INTERVAL_MS = 100;
 
 let group: ControllerGroup;
-/** One a zone. */
+/** One daemon in each zone. */
 let daemons: GroupDaemon[];
 
 beforeEach(async () => {
@@ -23,7 +23,7 @@
   return daemons[index] ?? expect.fail(`no daemon ${index}`);
 }
 
-/** Runs on; whether every daemon called its configuration fresh all the while. */
+/** Advances the simulation; whether every daemon's configuration was fresh at each check. */
 async function areFreshThroughout(milliseconds: number): Promise<boolean> {
   let fresh = true;
   for (let passed = 0; passed < milliseconds; passed += CHECK_INTERVAL_MS) {
@@ -33,28 +33,31 @@
   return fresh;
 }
 
-describe('a change accepted while a zone is cut off', () => {
-  it.each([0, 1, 2])('is in force there within seconds after the cut of zone %i', async (cut) => {
-    const others = [0, 1, 2].filter((index) => index !== cut);
-    group.cutZone(ZONES[cut] as string);
-    await group.simulation.runFor(ELECTION_MS);
-    await group.accept(others[0] as number, 1);
-    await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-    expect(others.map((index) => daemonAt(index).revision)).toEqual([1, 1]);
-    expect(daemonAt(cut).revision).toBe(0);
-    expect(daemonAt(cut).fresh).toBe(false);
-    const report = await group.changeReport(others[0] as number, 1);
-    expect(report.force?.late.map(({ name }) => name)).toEqual([`router-${cut + 1}`]);
-    group.simulation.healAll();
-    await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-    expect(daemonAt(cut).revisions).toEqual([0, 1]);
-    expect(daemonAt(cut).fresh).toBe(true);
-    for (const index of ZONES.keys()) {
-      expect((await group.changeReport(index, 1)).force).toMatchObject({ inForce: 3, late: [] });
-    }
-  });
+describe('a change accepted while a zone is partitioned', () => {
+  it.each([0, 1, 2])(
+    'is in force there within seconds after the partition of zone %i heals',
+    async (cut) => {
+      const others = [0, 1, 2].filter((index) => index !== cut);
+      group.cutZone(ZONES[cut] as string);
+      await group.simulation.runFor(ELECTION_MS);
+      await group.accept(others[0] as number, 1);
+      await group.simulation.runFor(IN_FORCE_WITHIN_MS);
+      expect(others.map((index) => daemonAt(index).revision)).toEqual([1, 1]);
+      expect(daemonAt(cut).revision).toBe(0);
+      expect(daemonAt(cut).fresh).toBe(false);
+      const report = await group.changeReport(others[0] as number, 1);
+      expect(report.force?.late.map(({ name }) => name)).toEqual([`router-${cut + 1}`]);
+      group.simulation.healAll();
+      await group.simulation.runFor(IN_FORCE_WITHIN_MS);
+      expect(daemonAt(cut).revisions).toEqual([0, 1]);
+      expect(daemonAt(cut).fresh).toBe(true);
+      for (const index of ZONES.keys()) {
+        expect((await group.changeReport(index, 1)).force).toMatchObject({ inForce: 3, late: [] });
+      }
+    },
+  );
 
-  it('is in force there within seconds also after an hour', async () => {
+  it('is in force there within seconds after a partition of an hour heals', async () => {
     group.cutZone('nayoro');
     await group.simulation.runFor(ELECTION_MS);
     await group.accept(0, 1);
@@ -64,7 +67,7 @@
     expect(daemonAt(1).revisions).toEqual([0, 1]);
   });
 
-  it('is not reverted by the zone, whose own change was refused meanwhile', async () => {
+  it('is not reverted by the partitioned zone, whose own change was refused', async () => {
     group.cutZone('nayoro');
     await group.simulation.runFor(ELECTION_MS);
     await expect(group.accept(1, 1)).rejects.toThrow(/unavailable|outcome_unknown/);
@@ -78,7 +81,7 @@
 });
 
 describe('controllers that restart', () => {
-  it('one after the other as planned leave no daemon stale, and changes go on', async () => {
+  it('leave no daemon stale and accept changes when they stop as planned, one after the other', async () => {
     for (const index of ZONES.keys()) {
       const stopping = (group.controllers[index] ?? expect.fail('no controller')).stop();
       expect(await areFreshThroughout(5_000)).toBe(true);
@@ -92,7 +95,7 @@
     expect(daemons.map(({ revisions }) => revisions)).toEqual(Array(3).fill([0, 1, 2, 3]));
   });
 
-  it('one after the other by a kill keep every daemon on what was accepted', async () => {
+  it('keep every daemon on the accepted revision when they are killed one after the other', async () => {
     for (const index of ZONES.keys()) {
       await group.accept((index + 1) % ZONES.length, index + 1);
       group.hostAt(index).restart({ keepDisk: true });
@@ -103,7 +106,7 @@
     expect(daemons.every(({ fresh }) => fresh)).toBe(true);
   });
 
-  it('all at once are caught up with, and know every daemon again', async () => {
+  it('serve and track every daemon again after all of them lost power at once', async () => {
     await group.accept(0, 1);
     for (const host of group.hosts) host.crash({ power: true });
     await group.simulation.runFor(60_000);
--- a/test/control/daemon-endpoints.test.ts
+++ b/test/control/daemon-endpoints.test.ts
@@ -17,7 +17,7 @@
   keepAliveTimeout: 1_000,
 };
 
-/** Asks without a token, as probes do. */
+/** Sends a GET request without a token, as health checks do. */
 async function get(
   group: ControllerGroup,
   { host }: SimulatedMachine,
@@ -68,8 +68,8 @@
   return machine;
 }
 
-describe('the endpoints for probes', () => {
-  it('of a controller tell quorum, revision and daemons', async () => {
+describe('health check and metrics endpoints', () => {
+  it('of a controller report quorum, revision and daemons', async () => {
     const group = await ControllerGroup.start();
     const host = group.hostAt(0);
     await group.accept(0, 1);
@@ -92,7 +92,7 @@
     expect(Number(age?.[1])).toBeGreaterThan(5);
   });
 
-  it('of a router tell whether it has a configuration', async () => {
+  it('of a router report whether it has a configuration', async () => {
     const group = await ControllerGroup.start();
     for (const zone of ZONES) group.simulation.cut({ from: { zone }, to: { machine: 'router-1' } });
     const router = await startRouter(group);
@@ -109,7 +109,7 @@
 });
 
 describe('the metrics reference', () => {
-  it('alarms only on metrics that there are', async () => {
+  it('names only registered metrics in its alarms', async () => {
     const { controller, router } = await daemonMetrics();
     const known = new Set([...controller, ...router].map(({ name }) => name));
     for (const { expression } of METRIC_ALARMS) {
--- a/test/control/evacuations.test.ts
+++ b/test/control/evacuations.test.ts
@@ -17,8 +17,8 @@
   return (JSON.parse(Buffer.from(body).toString('utf8')) as { zones: string[] }).zones;
 }
 
-describe('orders to evacuate a zone', () => {
-  it('are taken by any controller, and again without a change', async () => {
+describe('evacuation orders', () => {
+  it('are accepted by any controller and can be repeated', async () => {
     const group = await AutomaticGroup.start(3);
     expect(await submitOrder(group, 'PUT', 'nayoro', 1)).toBe(200);
     expect(await submitOrder(group, 'PUT', 'nayoro', 2)).toBe(200);
@@ -29,7 +29,7 @@
     expect(await readEvacuatedZones(group, 0)).toEqual(['wakkanai']);
   });
 
-  it('are refused for a zone that the deployment does not have', async () => {
+  it('are refused for a zone that does not exist in the deployment', async () => {
     const group = await AutomaticGroup.start(3);
     expect(await submitOrder(group, 'PUT', 'elsewhere')).toBe(404);
     expect(await submitOrder(group, 'PUT', '')).toBe(404);
@@ -37,7 +37,7 @@
     expect(await readEvacuatedZones(group)).toEqual([]);
   });
 
-  it('given at two controllers at once leave one of the two outcomes everywhere', async () => {
+  it('submitted to two controllers concurrently have the same outcome on every controller', async () => {
     const group = await AutomaticGroup.start(3);
     const statuses = await group.simulation.settle(
       Promise.all([
@@ -51,7 +51,7 @@
     expect(await readEvacuatedZones(group, 1)).toEqual(zones);
   });
 
-  it('outlive a loss of all power, and of one disk', async () => {
+  it('survive a power loss of all controllers and the loss of one disk', async () => {
     const group = await AutomaticGroup.start(3);
     expect(await submitOrder(group, 'PUT', 'nayoro')).toBe(200);
     for (const machine of group.machines) machine.crash({ power: true });
@@ -64,7 +64,7 @@
     expect(await readEvacuatedZones(group, 0)).toEqual(['nayoro']);
   });
 
-  it('outlive the loss of two disks of five', async () => {
+  it('survive the loss of two disks out of five', async () => {
     const group = await AutomaticGroup.start(5);
     expect(await submitOrder(group, 'PUT', 'nayoro', 3)).toBe(200);
     await group.restart(group.machineAt(0), false);
@@ -73,7 +73,7 @@
     expect(await readEvacuatedZones(group, 0)).toEqual(['nayoro']);
   });
 
-  it('are not acknowledged by a controller that is cut off from the others', async () => {
+  it('are not acknowledged by a controller without a quorum', async () => {
     const group = await AutomaticGroup.start(3);
     for (const machine of group.machines.slice(1)) machine.crash({ power: true });
     await group.simulation.runFor(SETTLE_MS);
--- a/test/control/in-force.test.ts
+++ b/test/control/in-force.test.ts
@@ -4,10 +4,10 @@
 import { formatStatus } from '../../src/operator/format-status.js';
 import { ControllerGroup, ELECTION_MS, IN_FORCE_WITHIN_MS, ZONES } from './controller-group.js';
 
-/** Each is run once as it is, and once with the defect that it has to find. */
+/** Each scenario runs once without faults, and once with the defect that it has to detect. */
 type Scenario = (faults: ControlStreamFaults) => Promise<unknown>;
 
-/** What a daemon puts in force whose controller hears the leader but cannot write. */
+/** Revisions of a daemon whose controller receives from the leader but cannot write to its disk. */
 const hangingDisk: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const leader = await group.leaderIndex();
@@ -20,7 +20,7 @@
   return daemon.revisions;
 };
 
-/** What a daemon puts in force that was restarted where only a controller cut off is left. */
+/** Revisions of a daemon that restarts when it can reach only a stale, partitioned controller. */
 const restartBesideStaleController: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const daemon = group.startDaemon('router-1', 'nayoro');
@@ -38,7 +38,7 @@
   return { whileCut, afterwards: restarted.revision };
 };
 
-/** What a daemon puts in force whose controller is cut off in silence. */
+/** Revisions of a daemon whose controller is silently partitioned. */
 const isolatedController: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const daemon = group.startDaemon('router-1', 'nayoro');
@@ -51,7 +51,7 @@
   return daemon.revisions;
 };
 
-/** How many of nine daemons follow a controller of another zone. */
+/** Number of daemons, of nine, that follow a controller of another zone. */
 const daemonsFollowingOtherZones: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const daemons = Array.from({ length: 9 }, (_, index) =>
@@ -64,7 +64,10 @@
   return daemons.length - inOwnZone.length;
 };
 
-/** Late daemons that each controller left names, long after one fell silent and the leader died. */
+/**
+ * Reports of each remaining controller on late daemons, long after one daemon fell silent and the
+ * leader crashed.
+ */
 const lateDaemonsAfterLeaderCrash: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const daemons = ZONES.map((zone, index) => group.startDaemon(`router-${index + 1}`, zone));
@@ -85,7 +88,7 @@
   return reports;
 };
 
-/** Signs that a daemon gets of a replica when another router tells of its earlier incarnation. */
+/** Liveness reports a daemon gets of a replica on whose earlier incarnation another router reports. */
 const reportsOfTwoIncarnations: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const [first, second, third] = [1, 2, 3].map((number) =>
@@ -105,7 +108,7 @@
 const COMPLETE_REPORT = { inForce: 2, daemons: 3, late: [ROUTER_3] };
 const REPORT_WITHOUT_SILENT_DAEMON = { inForce: 2, daemons: 2, late: [] };
 
-/** Name, what is seen of the build as it is, and what of a build with a defect. */
+/** Title, scenario, result without faults, defect, and result with the defect. */
 type DefectCase = [string, Scenario, unknown, ControlStreamFaults, unknown];
 
 describe('an accepted change', () => {
@@ -118,28 +121,28 @@
       [0],
     ],
     [
-      'does not revert at a daemon restarted beside a controller cut off',
+      'is not reverted at a daemon that restarts next to a partitioned controller',
       restartBesideStaleController,
       { whileCut: [], afterwards: 1 },
       { skipFreshnessProof: true },
       { whileCut: [0], afterwards: 1 },
     ],
     [
-      'is in force at daemons whose controller is cut off',
+      'is in force at daemons whose controller is partitioned',
       isolatedController,
       [0, 1],
       { neverLeave: true },
       [0],
     ],
     [
-      'comes from a controller of the own zone',
+      'reaches each daemon from a controller of its own zone',
       daemonsFollowingOtherZones,
       0,
       { ignoreZone: true },
       3,
     ],
     [
-      'is told by every controller to be late at a daemon that is silent',
+      'is reported by every controller as late at a silent daemon',
       lateDaemonsAfterLeaderCrash,
       [COMPLETE_REPORT, COMPLETE_REPORT],
       { forgetSilentDaemons: true },
@@ -151,7 +154,7 @@
     expect(await scenario(faults)).toEqual(found);
   });
 
-  it('is known where it is in force at controllers that daemons do not follow', async () => {
+  it('is reported completely by controllers only if controllers share the reports of daemons', async () => {
     expect(await lateDaemonsAfterLeaderCrash({ withholdReports: true })).not.toEqual([
       COMPLETE_REPORT,
       COMPLETE_REPORT,
@@ -159,16 +162,16 @@
   });
 });
 
-describe('a sign of a replica', () => {
-  it('never overrides a newer one', async () => {
+describe('a liveness report of a replica', () => {
+  it('never overrides a newer report', async () => {
     expect(await reportsOfTwoIncarnations({})).toEqual(['2 draining']);
     const found = await reportsOfTwoIncarnations({ acceptOlderSigns: true });
     expect(found).toContain('1 gone');
   });
 });
 
-describe('a controller that lacks what was committed', () => {
-  it('says that it is not ready, and is again once it has it', async () => {
+describe('a controller that lacks committed entries', () => {
+  it('reports that it is not ready until it has applied them', async () => {
     const group = await ControllerGroup.start();
     const slow = group.hostAt(((await group.leaderIndex()) + 1) % ZONES.length);
     expect(await group.request(slow, '/readyz')).toEqual({ ready: true });
@@ -182,7 +185,7 @@
   });
 });
 
-describe('the status of the cluster', () => {
+describe('the cluster status', () => {
   it('shows leader, lag, members, daemons and versions', async () => {
     const group = await ControllerGroup.start();
     group.startDaemon('router-1', 'nayoro');
--- a/test/control/membership-maintenance.test.ts
+++ b/test/control/membership-maintenance.test.ts
@@ -33,11 +33,11 @@
   };
 }
 
-describe('SilenceWatch', () => {
+describe('SilenceTracker', () => {
   const simulation = new Simulation(1);
   const { clock } = simulation.createMachine('leader', 'a').environment;
 
-  it('gives a learner that was never heard its time, however long the leader has led', async () => {
+  it('waits the whole timeout for a learner without contact, however long the leader has led', async () => {
     const tracker = new SilenceTracker(clock);
     const before = statusOf([member('m-b', 0), member('m-c', 0)]);
     expect(tracker.memberToRemove(before)).toBeUndefined();
@@ -52,7 +52,7 @@
     expect(tracker.memberToRemove(joined)?.memberId).toBe('m-d-x1');
   });
 
-  it('removes a silent voter only when a successor has its vote', async () => {
+  it('removes a silent voter only when its replacement is a voter', async () => {
     const tracker = new SilenceTracker(clock);
     const alone = statusOf([member('m-b', 0), member('m-c', 60_000)]);
     tracker.memberToRemove(alone);
@@ -62,7 +62,7 @@
     expect(tracker.memberToRemove(replaced)?.memberId).toBe('m-c');
   });
 
-  it('leaves a voter alone that was heard a moment ago', async () => {
+  it('keeps a voter that made contact recently', async () => {
     const tracker = new SilenceTracker(clock);
     const status = statusOf([
       member('m-b', 0),
@@ -74,7 +74,7 @@
     expect(tracker.memberToRemove(status)).toBeUndefined();
   });
 
-  it('counts the founders, also those that were removed, as the intended size', () => {
+  it('counts all founders, including removed ones, as the intended size', () => {
     expect(intendedVoterCount(statusOf([member('m-b', 0), member('m-d-x1', 0)], ['m-c']))).toBe(3);
   });
 });
--- a/test/control/other-writers.test.ts
+++ b/test/control/other-writers.test.ts
@@ -28,8 +28,8 @@
   return 'problem' in reading ? reading.problem : undefined;
 }
 
-describe('a heartbeat of another writer', () => {
-  it('is taken whole, whatever else it says', () => {
+describe('a heartbeat of another implementation', () => {
+  it('is read completely, and unknown fields are ignored', () => {
     const reading = readHeartbeat(
       'i-1',
       bytesOf({ ...VALID_HEARTBEAT, mood: { deep: [1, { a: 2 }] } }),
@@ -38,7 +38,7 @@
     expect(reading).toEqual({ entry: { ...fields, replicaId: 'i-1', warmupMs, bornAt } });
   });
 
-  it('names the field that cannot be used', () => {
+  it('is refused with the name of its first invalid field', () => {
     expect(problemOf({ ...VALID_HEARTBEAT, state: 'asleep' })).toEqual({
       reason: UnusableReason.UnknownState,
       field: 'state',
@@ -65,7 +65,7 @@
     }
   });
 
-  it('is never more than an entry or a problem, whatever the bytes', () => {
+  it('yields a valid entry or a problem for any bytes, and never throws', () => {
     const bytes = fc.oneof(
       fc.uint8Array({ maxLength: 200 }),
       fc.json({ maxDepth: 12 }).map((text) => Buffer.from(text)),
@@ -84,7 +84,7 @@
     );
   });
 
-  it('that cannot be used changes nothing of the good entry and of others', async () => {
+  it('that is unusable is refused, and later heartbeats of any replica are still accepted', async () => {
     const group = await AutomaticGroup.start(1);
     const machine = group.machineAt(0);
     const put = (path: string, body: string) => group.call(machine, 'PUT', path, body);
@@ -104,8 +104,8 @@
   });
 });
 
-describe('endless ids', () => {
-  it('fill a bounded number of entries, and leave those that are known as they are', () => {
+describe('an unbounded number of replica IDs', () => {
+  it('fills a bounded number of entries and leaves known replicas unaffected', () => {
     const { clock } = new Simulation(1).createMachine('controller', 'a').environment;
     const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats, 3);
     const entry = {
--- a/test/control/platform-list-poller.test.ts
+++ b/test/control/platform-list-poller.test.ts
@@ -15,7 +15,7 @@
   maximumConnections: 10,
 };
 
-it('reads the machines of a list although other items of it cannot be used', async () => {
+it('PlatformListPoller records the valid items of a list that also contains unusable items', async () => {
   const simulation = new Simulation(5);
   const platform = simulation.createMachine('platform', 'outside');
   const { environment } = simulation.createMachine('controller', 'a');
--- a/test/control/replace-controller.test.ts
+++ b/test/control/replace-controller.test.ts
@@ -21,13 +21,13 @@
   | { readonly action: 'addLearner'; readonly memberId: string; readonly address: string }
   | { readonly action: 'promote' | 'remove'; readonly memberId: string };
 
-/** As `driftway members` sends it. */
+/** Sends a membership change as `driftway members` does. */
 function changeMembers(client: OperatorClient, body: MemberChange): Promise<MemberList> {
   const request = { method: 'POST', target: '/v1/members', body, resendable: true } as const;
   return client.send<MemberList>(request);
 }
 
-/** The steps of docs/operators/replace-controller.md. */
+/** Follows the steps of docs/operators/replace-controller.md. */
 async function replaceController(
   client: OperatorClient,
   lostId: string,
@@ -38,6 +38,7 @@
   return changeMembers(client, { action: 'remove', memberId: lostId });
 }
 
+/** A simulated group whose members are changed by an operator. */
 class ManualGroup {
   readonly simulation = new Simulation(9);
   private readonly machines = new Map<string, SimulatedMachine>();
@@ -77,7 +78,7 @@
     return this.simulation.settle(ControllerDaemon.start(environment, configuration, telemetry));
   }
 
-  /** An operator who asks these controllers, in this order. */
+  /** Creates an operator's client that asks these controllers, in this order. */
   operator(...ids: readonly string[]): OperatorClient {
     const machine = this.simulation.createMachine(`operator-${this.simulation.now}`, 'office');
     const { clock, network } = machine.environment;
@@ -104,38 +105,41 @@
 }
 
 describe('replacement of a controller whose disk is lost', () => {
-  it.each(INITIAL)('carries a second failure right after it (%s)', async (lostId) => {
-    const group = new ManualGroup();
-    for (const id of INITIAL) await group.start(id);
-    await group.simulation.runFor(ELECTION_MS);
-    const rest = INITIAL.filter((id) => id !== lostId);
-    const client = group.operator(...rest);
-    await group.accept(client, 1);
-    group.machine(lostId).restart({ keepDisk: false });
-    await group.simulation.runFor(ELECTION_MS);
-    const wiped = await group.start(lostId);
-    const cause = await group.simulation.settle(wiped.failure);
-    expect(cause.message).toContain('docs/operators/replace-controller.md');
-    await group.start(ADDED, true);
-    const address = group.messageAddress(ADDED);
-    const { members } = await group.simulation.settle(replaceController(client, lostId, address));
-    const voters = members.filter(({ voter }) => voter).map(({ memberId }) => memberId);
-    expect(voters.toSorted()).toEqual([...rest, ADDED].toSorted());
-    // Sent again, as after a lost answer, it changes nothing.
-    await group.simulation.settle(replaceController(client, lostId, address));
-    await group.accept(client, 2);
-    const [second = '', survivor = ''] = rest;
-    group.machine(second).crash({ power: true });
-    const after = group.operator(ADDED, survivor);
-    await group.accept(after, 3);
-    const history = await group.simulation.settle(
-      after.get<{ changes: { changeId: string }[] }>('/v1/history'),
-    );
-    const accepted = history.changes.map(({ changeId }) => changeId);
-    expect(accepted).toEqual(['change-3', 'change-2', 'change-1']);
-  });
+  it.each(INITIAL)(
+    'leaves a group that tolerates another failure right afterwards (%s lost)',
+    async (lostId) => {
+      const group = new ManualGroup();
+      for (const id of INITIAL) await group.start(id);
+      await group.simulation.runFor(ELECTION_MS);
+      const rest = INITIAL.filter((id) => id !== lostId);
+      const client = group.operator(...rest);
+      await group.accept(client, 1);
+      group.machine(lostId).restart({ keepDisk: false });
+      await group.simulation.runFor(ELECTION_MS);
+      const wiped = await group.start(lostId);
+      const cause = await group.simulation.settle(wiped.failure);
+      expect(cause.message).toContain('docs/operators/replace-controller.md');
+      await group.start(ADDED, true);
+      const address = group.messageAddress(ADDED);
+      const { members } = await group.simulation.settle(replaceController(client, lostId, address));
+      const voters = members.filter(({ voter }) => voter).map(({ memberId }) => memberId);
+      expect(voters.toSorted()).toEqual([...rest, ADDED].toSorted());
+      // Repeating the steps, as after a lost response, changes nothing.
+      await group.simulation.settle(replaceController(client, lostId, address));
+      await group.accept(client, 2);
+      const [second = '', survivor = ''] = rest;
+      group.machine(second).crash({ power: true });
+      const after = group.operator(ADDED, survivor);
+      await group.accept(after, 3);
+      const history = await group.simulation.settle(
+        after.get<{ changes: { changeId: string }[] }>('/v1/history'),
+      );
+      const accepted = history.changes.map(({ changeId }) => changeId);
+      expect(accepted).toEqual(['change-3', 'change-2', 'change-1']);
+    },
+  );
 
-  it('refuses what is wrong at once, also when a follower is asked', async () => {
+  it('refuses an invalid membership change at once, whether the leader or a follower is asked', async () => {
     const group = new ManualGroup();
     for (const id of INITIAL) await group.start(id);
     await group.simulation.runFor(ELECTION_MS);
--- a/test/control/resends.test.ts
+++ b/test/control/resends.test.ts
@@ -8,10 +8,10 @@
 
 const TOTAL_TIMEOUT_MS = 60_000;
 const ATTEMPT_TIMEOUT_MS = 2_000;
-/** By then a request is at its controller, and its answer not on the way. */
+/** After this long a request has reached its controller, and no response has been sent. */
 const REQUEST_RECEIVED_MS = 4;
 
-/** An operator that asks the controllers `order`, by index. */
+/** Sends a change to the controllers in `order`, by index, until one responds. */
 function send(
   group: ControllerGroup,
   order: readonly number[],
@@ -28,7 +28,7 @@
   return client.post<ChangeResult>('/v1/changes', body);
 }
 
-/** All controllers, `first` before the others. */
+/** Indexes of all controllers, beginning with `first`. */
 function startingAt(first: number): number[] {
   return ZONES.map((_, index) => (first + index) % ZONES.length);
 }
@@ -42,7 +42,7 @@
   await group.startController(index);
 }
 
-/** What a promise was rejected with. */
+/** Resolves to the error that a promise rejects with; undefined when it resolves. */
 function rejectionOf(promise: Promise<unknown>): Promise<unknown> {
   return promise.then(
     () => undefined,
@@ -50,8 +50,8 @@
   );
 }
 
-describe('a change that is sent again', () => {
-  it('gets the first result after a lost answer, a new leader and a restart of all', async () => {
+describe('a resent change', () => {
+  it('gets the original result after a lost response, a new leader and a full restart', async () => {
     const group = await ControllerGroup.start();
     const { simulation } = group;
     const leader = await group.leaderIndex();
@@ -78,7 +78,7 @@
   });
 
   it.each([0, 2, 4, 6, 8, 10, 12, 20])(
-    'wins or loses a race once and for all when the leader is killed after %i ms',
+    'has one final outcome in a race when the leader is killed after %i ms',
     async (killAfterMs) => {
       const group = await ControllerGroup.start();
       const { simulation } = group;
--- a/test/control/stale-settings.test.ts
+++ b/test/control/stale-settings.test.ts
@@ -21,7 +21,7 @@
 const REFUSING = 'kifu-audit';
 const SERVING = 'receipt-desk';
 
-/** A service of one replica. */
+/** Starts the backend of a service with one replica, and returns the operation that creates the service. */
 async function createService(group: ControllerGroup, name: string): Promise<Operation> {
   const host = group.simulation.createMachine(`${name}-replica`, ZONE);
   const { environment } = host;
@@ -80,8 +80,8 @@
   return JSON.parse(Buffer.from(body).toString('utf8')) as unknown;
 }
 
-describe('a router that reaches only stale sources', () => {
-  it('refuses as not run, or serves and says so, as each service is set', async () => {
+describe('a router that reaches only stale controllers', () => {
+  it('refuses queries as not run, or serves them marked as stale, as set for each service', async () => {
     const group = await ControllerGroup.start();
     await group.acceptOperations(0, 1, [
       { type: 'createRegion', region: 'dohoku', zones: ['asahikawa-a', 'nayoro', 'wakkanai'] },
