--- a/src/control/controller-http.ts
+++ b/src/control/controller-http.ts
@@ -1,4 +1,7 @@
-/** HTTP handler of a controller: health checks, metrics, and the administration API for all other paths. */
+/**
+ * HTTP handler of a controller: health checks, metrics, and the administration API for all other
+ * paths.
+ */
 import type { Registry } from 'prom-client';
 import type { HttpHandler, HttpListenOptions, HttpResponse } from '../seams/http.js';
 import type { Readiness } from './controller-readiness.js';
--- a/src/control/enrolment.ts
+++ b/src/control/enrolment.ts
@@ -56,7 +56,9 @@
   readonly stopped: AbortSignal;
 }
 
-/** Asks one controller after the other, in rounds, until this one is a voter or `stopped` aborts. */
+/**
+ * Asks one controller after the other, in rounds, until this one is a voter or `stopped` aborts.
+ */
 export async function enrolUntilVoter(options: EnrolmentOptions): Promise<void> {
   const { environment, log, stopped, address } = options;
   const { clock } = environment;
--- a/src/control/member-identity.ts
+++ b/src/control/member-identity.ts
@@ -1,4 +1,7 @@
-/** Member identity of a controller; derived from its address and data folder under automatic membership. */
+/**
+ * Member identity of a controller; derived from its address and data folder under automatic
+ * membership.
+ */
 import type { ControllerConfiguration } from '../configuration/controller-configuration.js';
 import type { MemberEndpoint } from '../consensus/member-endpoint.js';
 import type { Address } from '../seams/address.js';
--- a/src/control/membership-maintenance.ts
+++ b/src/control/membership-maintenance.ts
@@ -1,6 +1,7 @@
 /**
- * Removes members that do not come back. While this controller leads, it removes a silent voter
- * once a replacement is a voter, so the group never shrinks below its intended size.
+ * Removes members that do not come back. While this controller leads, it removes silent learners,
+ * and a silent voter once a replacement is a voter, so the group never shrinks below its intended
+ * size.
  */
 import type { RaftNode } from '../consensus/raft-node.js';
 import type { ReplicatedLogMember, ReplicatedLogStatus } from '../consensus/replicated-log.js';
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -39,7 +39,10 @@
 });
 type Machine = z.infer<typeof machineSchema>;
 
-/** Polls from construction until stopped, and calls `onNewReports` after a poll that changed a state. */
+/**
+ * Polls from construction until stopped, and calls `onNewReports` after a poll that changed a
+ * state.
+ */
 export class PlatformListPoller {
   private readonly client: HttpClient;
   private readonly stopped = new AbortController();
--- a/src/control/read-heartbeat.ts
+++ b/src/control/read-heartbeat.ts
@@ -52,7 +52,9 @@
   }
 }
 
-/** Parses the body of a heartbeat into the replica's entry; reports invalid input and never throws. */
+/**
+ * Parses the body of a heartbeat into the replica's entry; reports invalid input and never throws.
+ */
 export function readHeartbeat(replicaId: string, body: Uint8Array): HeartbeatResult {
   if (replicaId === '' || replicaId.length > MAXIMUM_ID_LENGTH) {
     return { problem: { reason: UnusableReason.BadField, field: 'id' } };
--- a/src/control/registration-endpoint.ts
+++ b/src/control/registration-endpoint.ts
@@ -181,7 +181,9 @@
     return jsonResponse(200, {});
   }
 
-  /** Proposes the document if its version is new; refuses invalid documents whatever their version. */
+  /**
+   * Proposes the document if its version is new; refuses invalid documents whatever their version.
+   */
   private async putRoutes(body: Uint8Array): Promise<HttpResponse> {
     const { register, log, logger } = this.options;
     try {
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -217,7 +217,9 @@
     await this.listener?.close();
   }
 
-  /** Second step of a planned stop, after {@link RegistrationPart.close}: ends the background tasks. */
+  /**
+   * Second step of a planned stop, after {@link RegistrationPart.close}: ends the background tasks.
+   */
   async stop(): Promise<void> {
     this.stopped.abort(new Error('stopped'));
     await this.client.stop();
@@ -253,7 +255,9 @@
     });
   }
 
-  /** Resolves to whether the gateways that follow this controller hold its current entries in time. */
+  /**
+   * Resolves to whether the gateways that follow this controller hold its current entries in time.
+   */
   private relay(): Promise<boolean> {
     return this.server.waitConfirmed(
       this.directory.position,
--- a/test/control/automatic-group.ts
+++ b/test/control/automatic-group.ts
@@ -72,7 +72,9 @@
     this.operator = this.simulation.createMachine('operator', 'operators');
   }
 
-  /** Starts `founderCount` controllers for the first time; the first three of them are the seeds. */
+  /**
+   * Starts `founderCount` controllers for the first time; the first three of them are the seeds.
+   */
   static async start(
     founderCount: number,
     seed = 7,
--- a/test/control/controller-group.ts
+++ b/test/control/controller-group.ts
@@ -181,7 +181,9 @@
     }
   }
 
-  /** Silently partitions a machine from all other zones; machines of its own zone still reach it. */
+  /**
+   * Silently partitions a machine from all other zones; machines of its own zone still reach it.
+   */
   cutMachine({ name, zone }: SimulatedMachine): void {
     for (const other of ZONES.filter((otherZone) => otherZone !== zone)) {
       this.simulation.cut({ from: { machine: name }, to: { zone: other } });
--- a/test/control/in-force.test.ts
+++ b/test/control/in-force.test.ts
@@ -88,7 +88,9 @@
   return reports;
 };
 
-/** Liveness reports a daemon gets of a replica on whose earlier incarnation another router reports. */
+/**
+ * Liveness reports a daemon gets of a replica on whose earlier incarnation another router reports.
+ */
 const reportsOfTwoIncarnations: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const [first, second, third] = [1, 2, 3].map((number) =>
--- a/test/control/stale-settings.test.ts
+++ b/test/control/stale-settings.test.ts
@@ -21,7 +21,10 @@
 const REFUSING = 'kifu-audit';
 const SERVING = 'receipt-desk';
 
-/** Starts the backend of a service with one replica, and returns the operation that creates the service. */
+/**
+ * Starts the backend of a service with one replica, and returns the operation that creates the
+ * service.
+ */
 async function createService(group: ControllerGroup, name: string): Promise<Operation> {
   const host = group.simulation.createMachine(`${name}-replica`, ZONE);
   const { environment } = host;
