--- a/test/control/automatic-membership.test.ts
+++ b/test/control/automatic-membership.test.ts
@@ -2,7 +2,7 @@
 import { AutomaticGroup, SETTLE_MS, routeDocument } from './automatic-group.js';
 
 describe('automatic membership', () => {
-  it('adds a founder that is not a seed as a voter', async () => {
+  it('adds a founder that is not a seed', async () => {
     const group = await AutomaticGroup.start(4);
     expect((await group.putRoutes(group.machineAt(3), routeDocument(1))).status).toBe(200);
     // Of four voters, all remaining three are needed; of three voters, two would be enough.
