--- a/src/model/replica-sign.ts
+++ b/src/model/replica-sign.ts
@@ -4,7 +4,7 @@
 export type ReplicaState = 'live' | 'draining' | 'gone';
 
 /** Rank of a state within one incarnation. */
-export const REPLICA_STATE_RANK: Readonly<Record<ReplicaState, number>> = {
+export const REPLICA_STATE_ORDER: Readonly<Record<ReplicaState, number>> = {
   live: 0,
   draining: 1,
   gone: 2,
@@ -25,5 +25,5 @@
   if (candidate.incarnation !== known.incarnation) {
     return candidate.incarnation > known.incarnation;
   }
-  return REPLICA_STATE_RANK[candidate.state] > REPLICA_STATE_RANK[known.state];
+  return REPLICA_STATE_ORDER[candidate.state] > REPLICA_STATE_ORDER[known.state];
 }
--- a/test/router/support/fixed-source.ts
+++ b/test/router/support/fake-configuration-source.ts
@@ -8,11 +8,11 @@
 } from '../../../src/settings/configuration-source.js';
 import type { ConfigurationState } from '../../../src/settings/configuration-state.js';
 
-export class FixedSource implements ConfigurationSource {
+export class FakeConfigurationSource implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
   readonly replicaSigns: Stream<ReplicaSign>;
   readonly publish: (state: ConfigurationState) => void;
-  readonly tellSign: (sign: ReplicaSign) => void;
+  readonly publishSign: (sign: ReplicaSign) => void;
   readonly reported: ReplicaSign[] = [];
   fresh = true;
 
@@ -23,7 +23,7 @@
       this.state = next;
       publish(next);
     };
-    [this.tellSign, this.replicaSigns] = createAdapter<ReplicaSign>();
+    [this.publishSign, this.replicaSigns] = createAdapter<ReplicaSign>();
   }
 
   current(): ConfigurationState | undefined {
