--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -94,8 +94,8 @@
 }
 
 /**
- * Stops the components. The servers stop before the log, so that daemons already follow other
- * controllers when leadership is transferred.
+ * Stops the components. The control stream stops before the log, so that daemons already follow
+ * other controllers when leadership is transferred.
  */
 export async function stopControllerCore(core: ControllerCore): Promise<void> {
   const { log, server, exchange, registration } = core;
--- a/src/control/controller-daemon.ts
+++ b/src/control/controller-daemon.ts
@@ -96,7 +96,7 @@
 
   /**
    * Resolves with the cause once the log has stopped because of an error, after which this
-   * controller's state is no longer reliable. Stays pending after a planned stop.
+   * controller's state is no longer reliable. Stays pending when the log stops without an error.
    */
   get failure(): Promise<DriftwayError> {
     return new Promise((resolve) => {
--- a/src/control/controller-readiness.ts
+++ b/src/control/controller-readiness.ts
@@ -11,7 +11,7 @@
 /** State of a controller from which its readiness follows. */
 export interface ReadinessInputs {
   readonly stopping: boolean;
-  /** Time since a quorum last responded. */
+  /** Time since a quorum was last heard, directly or through the leader. */
   readonly sinceQuorumMs: number;
   /** Time since the local state was last known to hold everything committed. */
   readonly stateAgeMs: number;
--- a/src/control/enrolment.ts
+++ b/src/control/enrolment.ts
@@ -27,7 +27,7 @@
   if (message.kind !== 'enrol') return;
   const reason = await addVoter(log, message);
   const { memberId, address } = message;
-  logger.info('enrolment request handled', { member: memberId, address, reason });
+  logger.info('enrolment asked for', { member: memberId, address, reason });
   const accepted = reason === '';
   await connection.send(ENROLMENT_CODEC.encode({ kind: 'enrolled', accepted, reason }));
 }
@@ -90,9 +90,9 @@
     if (frame === undefined) return;
     const response = ENROLMENT_CODEC.decode(frame, controller);
     if (response.kind === 'enrolled')
-      logger.info('enrolment response received', { controller, ...response });
+      logger.info('enrolment answered', { controller, ...response });
   } catch (error) {
-    logger.warn('enrolment request failed', { controller, reason: String(error) });
+    logger.warn('enrolment failed', { controller, reason: String(error) });
   } finally {
     connection?.close();
   }
--- a/src/control/evacuation-endpoint.ts
+++ b/src/control/evacuation-endpoint.ts
@@ -34,16 +34,12 @@
 
   async handle({ method, path }: HttpRequest): Promise<HttpResponse> {
     if (path === EVACUATIONS_PATH) {
-      return method === 'GET'
-        ? this.list()
-        : errorResponse(405, 'only GET is supported on the list of evacuations');
+      return method === 'GET' ? this.list() : errorResponse(405, 'use GET');
     }
     const zone = decodeZone(path);
     const isEvacuated = EVACUATED_AFTER_METHOD[method];
-    if (zone === undefined)
-      return errorResponse(400, 'the zone name in the path is not valid percent-encoding');
-    if (isEvacuated === undefined)
-      return errorResponse(405, 'only PUT and DELETE are supported on the evacuation of a zone');
+    if (zone === undefined) return errorResponse(400, 'the name of the zone cannot be read');
+    if (isEvacuated === undefined) return errorResponse(405, 'use PUT or DELETE');
     return this.submitOrder(zone, isEvacuated);
   }
 
@@ -60,10 +56,7 @@
     try {
       return jsonResponse(200, { zones: await this.orders.readZones() });
     } catch (error) {
-      return errorResponse(
-        503,
-        `cannot confirm that the list of evacuated zones is current: ${String(error)}`,
-      );
+      return errorResponse(503, `cannot be sure of the newest: ${String(error)}`);
     }
   }
 }
--- a/src/control/member-identity.ts
+++ b/src/control/member-identity.ts
@@ -52,7 +52,8 @@
   const wasDiscarded = await emptyIfDiscarded(environment.disk);
   const stored = await new HardStateStore(environment.disk).load();
   if (stored !== undefined) {
-    // A founder's folder may date from before the group was founded: it still takes part in that.
+    // The folder of a founder may not yet record that the group was founded with it: such a member
+    // must not wait to be added.
     const isOfFounder = stored.memberId === founding && isFounder;
     return { memberId: stored.memberId, initialMembers: founders, join: !isOfFounder };
   }
--- a/src/control/quarantine-endpoint.ts
+++ b/src/control/quarantine-endpoint.ts
@@ -16,12 +16,9 @@
 
   async handle({ method, path }: HttpRequest): Promise<HttpResponse> {
     if (path === QUARANTINE_PATH) {
-      return method === 'GET'
-        ? this.list()
-        : errorResponse(405, 'only GET is supported on the list of quarantined requests');
+      return method === 'GET' ? this.list() : errorResponse(405, 'use GET');
     }
-    if (method !== 'DELETE')
-      return errorResponse(405, 'only DELETE is supported on a quarantined request');
+    if (method !== 'DELETE') return errorResponse(405, 'use DELETE');
     return this.lift(path.slice(QUARANTINE_PATH.length + 1));
   }
 
@@ -41,10 +38,7 @@
     try {
       return jsonResponse(200, { requests: await this.orders.read() });
     } catch (error) {
-      return errorResponse(
-        503,
-        `cannot confirm that the list of quarantined requests is current: ${String(error)}`,
-      );
+      return errorResponse(503, `cannot be sure of the newest: ${String(error)}`);
     }
   }
 }
--- a/src/control/registration-endpoint.ts
+++ b/src/control/registration-endpoint.ts
@@ -77,11 +77,10 @@
     if (path === QUARANTINE_PATH || path.startsWith(`${QUARANTINE_PATH}/`)) {
       return this.options.quarantine.handle(request);
     }
-    if (path !== ROUTES_PATH)
-      return errorResponse(404, 'this path does not exist on the registration listener');
+    if (path !== ROUTES_PATH) return errorResponse(404, 'no such path');
     if (method === 'PUT') return this.putRoutes(request.body);
     if (method === 'GET') return this.getRoutes();
-    return errorResponse(405, 'only PUT and GET are supported on the route document');
+    return errorResponse(405, 'use PUT or GET');
   }
 
   private async handleReplicaRequest(
@@ -89,11 +88,10 @@
     replicaId: string | undefined,
     body: Uint8Array,
   ): Promise<HttpResponse> {
-    if (method !== 'PUT' && method !== 'DELETE')
-      return errorResponse(405, 'only PUT and DELETE are supported on a replica');
+    if (method !== 'PUT' && method !== 'DELETE') return errorResponse(405, 'use PUT or DELETE');
     if (replicaId === undefined) {
       this.options.unusable.note(EntrySource.Heartbeat, UnusableReason.Unreadable, { field: 'id' });
-      return errorResponse(400, 'the replica ID in the path is not valid percent-encoding');
+      return errorResponse(400, 'not a replica id');
     }
     return method === 'PUT'
       ? this.handleHeartbeat(replicaId, body)
@@ -107,19 +105,13 @@
     if ('problem' in result) {
       const { reason, field } = result.problem;
       unusable.note(EntrySource.Heartbeat, reason, { replicaId: truncateId(replicaId), field });
-      return errorResponse(
-        400,
-        `the body is not a valid heartbeat, first problem: ${field ?? reason}`,
-      );
+      return errorResponse(400, `not a heartbeat: ${field ?? reason}`);
     }
     const { entry } = result;
     const { isCurrent, isNews } = directory.hear(entry);
     if (directory.find(replicaId) === undefined) {
       unusable.note(EntrySource.Heartbeat, UnusableReason.TooMany, { replicaId });
-      return errorResponse(
-        503,
-        'the replica is not registered: the maximum number of replicas is reached',
-      );
+      return errorResponse(503, 'too many replicas');
     }
     if (isCurrent) server.noteHeard(replicaId);
     if (isNews) {
@@ -168,10 +160,7 @@
         replicaId,
         reason: 'no quorum of the controllers confirmed it in time',
       });
-      return errorResponse(
-        503,
-        'no quorum of the controllers has confirmed yet that the replica is leaving',
-      );
+      return errorResponse(503, 'no quorum of the controllers holds it yet');
     }
     await server.waitConfirmed(
       position,
@@ -182,7 +171,8 @@
   }
 
   /**
-   * Proposes the document if its version is new; refuses invalid documents whatever their version.
+   * Proposes the document if its version is higher than the current one; refuses invalid documents
+   * whatever their version.
    */
   private async putRoutes(body: Uint8Array): Promise<HttpResponse> {
     const { register, log, logger } = this.options;
@@ -222,14 +212,10 @@
     try {
       await log.readBarrier();
     } catch (error) {
-      return errorResponse(
-        503,
-        `cannot confirm that the route document is current: ${String(error)}`,
-      );
+      return errorResponse(503, `cannot be sure of the newest: ${String(error)}`);
     }
     const document = register.current();
-    if (document === undefined)
-      return errorResponse(503, 'no route document has been accepted yet');
+    if (document === undefined) return errorResponse(503, 'no route document yet');
     return {
       status: 200,
       headers: { 'content-type': 'application/json' },
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -55,7 +55,10 @@
 const MAINTENANCE_INTERVAL_MS = 250;
 /** Maximum time that a planned stop waits until this member is removed from the group. */
 const LEAVE_GROUP_TIMEOUT_MS = 1_000;
-/** A gateway that takes longer is partitioned or overloaded, and its connection is closed soon. */
+/**
+ * Maximum wait until gateways confirm relayed entries. A gateway that takes longer is partitioned or
+ * overloaded, and its connection is closed soon.
+ */
 const RELAY_TIMEOUT_MS = 2_000;
 /**
  * A read barrier that confirms route versions is abandoned after this time and begun anew: it may
@@ -256,7 +259,8 @@
   }
 
   /**
-   * Resolves to whether the gateways that follow this controller hold its current entries in time.
+   * Waits until all gateways that follow this controller hold its current entries; resolves to false
+   * after {@link RELAY_TIMEOUT_MS}.
    */
   private relay(): Promise<boolean> {
     return this.server.waitConfirmed(
@@ -281,8 +285,8 @@
   }
 
   /**
-   * Time since a quorum last responded, for `StatusMessage.ageMs`; {@link UNKNOWN_AGE_MS} while
-   * committed records are missing here.
+   * Time since a quorum was last heard, directly or through the leader, for `StatusMessage.ageMs`;
+   * {@link UNKNOWN_AGE_MS} while committed records are missing here.
    */
   private ageMs(): number {
     const { sinceQuorumMs, knownCommitIndex, appliedIndex } = this.options.log.status();
--- a/test/control/controller-daemon.test.ts
+++ b/test/control/controller-daemon.test.ts
@@ -112,7 +112,7 @@
 });
 
 describe('ControllerDaemon', () => {
-  it('puts an accepted change in force at a daemon and shows it in its metrics', async () => {
+  it('puts an accepted change in force at a daemon, is ready and counts the daemon as a subscriber', async () => {
     const controller = await startController();
     const client = startClient(controller);
     await waitUntilInForce(client, 0);
--- a/test/control/evacuations.test.ts
+++ b/test/control/evacuations.test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('evacuation orders', () => {
-  it('are accepted by any controller and can be repeated', async () => {
+  it('are accepted by any controller, and repeating one changes nothing', async () => {
     const group = await AutomaticGroup.start(3);
     expect(await submitOrder(group, 'PUT', 'nayoro', 1)).toBe(200);
     expect(await submitOrder(group, 'PUT', 'nayoro', 2)).toBe(200);
--- a/test/control/in-force.test.ts
+++ b/test/control/in-force.test.ts
@@ -4,7 +4,7 @@
 import { formatStatus } from '../../src/operator/format-status.js';
 import { ControllerGroup, ELECTION_MS, IN_FORCE_WITHIN_MS, ZONES } from './controller-group.js';
 
-/** Each scenario runs once without faults, and once with the defect that it has to detect. */
+/** Runs once without defects, and once with the defect that it has to detect. */
 type Scenario = (faults: ControlStreamFaults) => Promise<unknown>;
 
 /** Revisions of a daemon whose controller receives from the leader but cannot write to its disk. */
--- a/test/control/read-heartbeat.test.ts
+++ b/test/control/read-heartbeat.test.ts
@@ -84,7 +84,7 @@
     );
   });
 
-  it('that is unusable is refused, and later heartbeats of any replica are still accepted', async () => {
+  it('that is unusable is refused, and a heartbeat of another replica is still accepted', async () => {
     const group = await AutomaticGroup.start(1);
     const machine = group.machineAt(0);
     const put = (path: string, body: string) => group.call(machine, 'PUT', path, body);
