--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -11,7 +11,7 @@
 import { ControlStreamServer } from '../control-stream/control-stream-server.js';
 import { ControllerExchange } from '../control-stream/controller-exchange.js';
 import { DaemonDirectory } from '../control-stream/daemon-directory.js';
-import { SignBoard } from '../control-stream/sign-board.js';
+import { LivenessReportTable } from '../control-stream/liveness-report-table.js';
 import { CONNECT_TIMEOUT_MS } from '../control-stream/stream-timing.js';
 import { EvacuationOrders } from '../evacuations/evacuation-orders.js';
 import { EvacuationRegister } from '../evacuations/evacuation-register.js';
@@ -49,7 +49,7 @@
   readonly log: RaftNode;
   readonly machine: ConfigurationStateMachine;
   readonly daemons: DaemonDirectory;
-  readonly livenessReports: SignBoard;
+  readonly livenessReports: LivenessReportTable;
   readonly server: ControlStreamServer;
   readonly exchange: ControllerExchange;
   readonly registration: RegistrationPart;
@@ -117,7 +117,7 @@
 ): ControlStreamParts {
   const { clock } = environment;
   const daemons = new DaemonDirectory(clock, faults);
-  const livenessReports = new SignBoard(faults);
+  const livenessReports = new LivenessReportTable(faults);
   const onNews = (): void => exchange.notify();
   const server = new ControlStreamServer(
     {
@@ -126,8 +126,8 @@
       feed: machine,
       log,
       daemons,
-      signs: livenessReports,
-      onNews,
+      livenessReports: livenessReports,
+      onUpdate: onNews,
       faults,
     },
     telemetry,
@@ -135,7 +135,15 @@
   const readMembers = (): readonly ReplicatedLogMember[] => log.status().members;
   const onSigns = (): void => server.notify();
   const exchange = new ControllerExchange(
-    { environment, identity, readMembers, daemons, signs: livenessReports, onSigns, faults },
+    {
+      environment,
+      identity,
+      readMembers,
+      daemons,
+      livenessReports: livenessReports,
+      onLivenessReports: onSigns,
+      faults,
+    },
     telemetry,
   );
   return { daemons, livenessReports, server, exchange };
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -5,7 +5,11 @@
  */
 import { Counter } from 'prom-client';
 import * as z from 'zod';
-import { EVERYWHERE, PLATFORM_OBSERVER, type SignBoard } from '../control-stream/sign-board.js';
+import {
+  ALL_ZONES,
+  PLATFORM_OBSERVER,
+  type LivenessReportTable,
+} from '../control-stream/liveness-report-table.js';
 import { nameSchema } from '../model/service-definition.js';
 import {
   EntrySource,
@@ -52,7 +56,7 @@
   constructor(
     private readonly environment: Environment,
     address: Address,
-    private readonly livenessReports: SignBoard,
+    private readonly livenessReports: LivenessReportTable,
     private readonly onNewReports: () => void,
     private readonly unusable: UnusableEntries,
     telemetry: Telemetry,
@@ -92,7 +96,8 @@
       const machine = this.parseMachine(item);
       if (machine === undefined) continue;
       const sign = { ...machine, observedBy: PLATFORM_OBSERVER };
-      hasNewReports = this.livenessReports.record({ scope: EVERYWHERE, sign }) || hasNewReports;
+      hasNewReports =
+        this.livenessReports.record({ scope: ALL_ZONES, report: sign }) || hasNewReports;
     }
     if (hasNewReports) this.onNewReports();
     return 'read';
--- a/src/control/registration-endpoint.ts
+++ b/src/control/registration-endpoint.ts
@@ -108,12 +108,12 @@
       return errorResponse(400, `not a heartbeat: ${field ?? reason}`);
     }
     const { entry } = result;
-    const { isCurrent, isNews } = directory.hear(entry);
+    const { isCurrent, isNews } = directory.reportDirectly(entry);
     if (directory.find(replicaId) === undefined) {
       unusable.note(EntrySource.Heartbeat, UnusableReason.TooMany, { replicaId });
       return errorResponse(503, 'too many replicas');
     }
-    if (isCurrent) server.noteHeard(replicaId);
+    if (isCurrent) server.recordHeartbeat(replicaId);
     if (isNews) {
       const { service, address, state, sequence, bornAt } = entry;
       logger.info('replica registered', {
@@ -149,7 +149,7 @@
     const { members, memberId } = log.status();
     const voters = members.filter(({ voter }) => voter).map((member) => member.memberId);
     const quorum = Math.floor(voters.length / 2) + 1;
-    const isHeldByQuorum = await server.waitConfirmed(
+    const isHeldByQuorum = await server.waitForConfirmations(
       position,
       LEAVE_QUORUM_TIMEOUT_MS,
       ({ controllers }) =>
@@ -162,7 +162,7 @@
       });
       return errorResponse(503, 'no quorum of the controllers holds it yet');
     }
-    await server.waitConfirmed(
+    await server.waitForConfirmations(
       position,
       LEAVE_GATEWAYS_TIMEOUT_MS,
       ({ gatewaysMissing, relaysMissing }) => gatewaysMissing === 0 && relaysMissing === 0,
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -107,7 +107,7 @@
     const { environment, identity, logger, log, register, zone, ownAddress } = options;
     const { evacuations, evacuationOrders, quarantine, quarantineOrders, traffic } = options;
     const { clock } = environment;
-    this.directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    this.directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     this.unusable = new UnusableEntries({ clock, logger, registry: options.registry });
     const intake = new EvidenceIntake({
       orders: quarantineOrders,
@@ -263,7 +263,7 @@
    * after {@link RELAY_TIMEOUT_MS}.
    */
   private relay(): Promise<boolean> {
-    return this.server.waitConfirmed(
+    return this.server.waitForConfirmations(
       this.directory.position,
       RELAY_TIMEOUT_MS,
       ({ gatewaysMissing }) => gatewaysMissing === 0,
@@ -299,9 +299,9 @@
     const { clock } = this.options.environment;
     const stopped = this.stopped.signal;
     while (!stopped.aborted) {
-      this.client.useMembers(this.memberAddresses());
+      this.client.setMembers(this.memberAddresses());
       this.directory.forgetSilent();
-      this.routeLag.look();
+      this.routeLag.check();
       await clock.sleep(MAINTENANCE_INTERVAL_MS, stopped).catch(() => undefined);
     }
   }
--- a/test/control/controller-group.test.ts
+++ b/test/control/controller-group.test.ts
@@ -1,7 +1,7 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import { PlatformList } from '../../lab/platform/platform-list.js';
 import { observe } from '../../src/control-stream/observe.js';
-import type { ReplicaSign } from '../../src/model/replica-sign.js';
+import type { LivenessReport } from '../../src/model/liveness-report.js';
 import {
   ControllerGroup,
   ELECTION_MS,
@@ -95,8 +95,8 @@
       }),
     );
     const { client } = group.startDaemon('router-1', 'nayoro');
-    const reports: ReplicaSign[] = [];
-    observe(client.replicaSigns, (report) => reports.push(report));
+    const reports: LivenessReport[] = [];
+    observe(client.livenessReports, (report) => reports.push(report));
     const machine = { replicaId: 'replica-1', incarnation: 1 };
     for (const state of ['live', 'draining', 'live', 'gone'] as const) {
       list.set({ ...machine, state });
--- a/test/control/in-force.test.ts
+++ b/test/control/in-force.test.ts
@@ -98,10 +98,10 @@
   );
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
   const report = { replicaId: 'replica-1', observedBy: 'router' };
-  first?.client.reportReplicaSign({ ...report, incarnation: 2, state: 'draining' });
+  first?.client.reportReplicaState({ ...report, incarnation: 2, state: 'draining' });
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-  second?.client.reportReplicaSign({ ...report, incarnation: 1, state: 'gone' });
-  second?.client.reportReplicaSign({ ...report, incarnation: 2, state: 'live' });
+  second?.client.reportReplicaState({ ...report, incarnation: 1, state: 'gone' });
+  second?.client.reportReplicaState({ ...report, incarnation: 2, state: 'live' });
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
   return third?.livenessReports.map(({ incarnation, state }) => `${incarnation} ${state}`);
 };
--- a/test/control/read-heartbeat.test.ts
+++ b/test/control/read-heartbeat.test.ts
@@ -107,7 +107,7 @@
 describe('an unbounded number of replica IDs', () => {
   it('fills a bounded number of entries and leaves known replicas unaffected', () => {
     const { clock } = new Simulation(1).createMachine('controller', 'a').environment;
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats, 3);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats, 3);
     const entry = {
       replicaId: 'i-0',
       service: 'ledger',
@@ -119,12 +119,12 @@
       warmupMs: 0,
     };
     for (let index = 0; index < 10; index += 1) {
-      directory.hear({ ...entry, replicaId: `i-${index}` });
+      directory.reportDirectly({ ...entry, replicaId: `i-${index}` });
     }
     expect([...directory.all()].map(({ replicaId }) => replicaId)).toEqual(['i-0', 'i-1', 'i-2']);
     const draining = { ...entry, sequence: 2, state: RegisteredState.Draining };
-    expect(directory.hear(draining)).toEqual({ isCurrent: true, isNews: true });
-    expect(directory.hear({ ...entry, replicaId: 'i-9' })).toEqual({
+    expect(directory.reportDirectly(draining)).toEqual({ isCurrent: true, isNews: true });
+    expect(directory.reportDirectly({ ...entry, replicaId: 'i-9' })).toEqual({
       isCurrent: false,
       isNews: false,
     });
--- a/test/router/support/fake-configuration-source.ts
+++ b/test/router/support/fake-configuration-source.ts
@@ -1,7 +1,7 @@
 /** A configuration source that a test drives by hand. */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
-import type { ReplicaSign } from '../../../src/model/replica-sign.js';
+import type { LivenessReport } from '../../../src/model/liveness-report.js';
 import type {
   ConfigurationFreshness,
   ConfigurationSource,
@@ -10,10 +10,10 @@
 
 export class FakeConfigurationSource implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
-  readonly replicaSigns: Stream<ReplicaSign>;
+  readonly livenessReports: Stream<LivenessReport>;
   readonly publish: (state: ConfigurationState) => void;
-  readonly publishSign: (sign: ReplicaSign) => void;
-  readonly reported: ReplicaSign[] = [];
+  readonly publishSign: (sign: LivenessReport) => void;
+  readonly reported: LivenessReport[] = [];
   fresh = true;
 
   constructor(private state: ConfigurationState | undefined) {
@@ -23,7 +23,7 @@
       this.state = next;
       publish(next);
     };
-    [this.publishSign, this.replicaSigns] = createAdapter<ReplicaSign>();
+    [this.publishSign, this.livenessReports] = createAdapter<LivenessReport>();
   }
 
   current(): ConfigurationState | undefined {
@@ -34,7 +34,7 @@
     return { fresh: this.fresh, committedRevision: this.state?.revision ?? 0 };
   }
 
-  reportReplicaSign(sign: ReplicaSign): void {
+  reportReplicaState(sign: LivenessReport): void {
     this.reported.push(sign);
   }
 
