--- a/lab/measure/fixed-configuration-source.ts
+++ b/lab/measure/fixed-configuration-source.ts
@@ -1,7 +1,7 @@
 /** A configuration that never changes, for runs without controllers. */
 import { never } from '@most/core';
 import type { Stream } from '@most/types';
-import type { ReplicaSign } from '../../src/model/replica-sign.js';
+import type { ReplicaReport } from '../../src/model/replica-report.js';
 import type {
   ConfigurationFreshness,
   ConfigurationSource,
@@ -11,7 +11,7 @@
 /** {@link ConfigurationSource} that is always fresh. */
 export class FixedConfigurationSource implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState> = never();
-  readonly replicaSigns: Stream<ReplicaSign> = never();
+  readonly replicaReports: Stream<ReplicaReport> = never();
 
   constructor(private readonly state: ConfigurationState) {}
 
@@ -23,7 +23,7 @@
     return { fresh: true, committedRevision: this.state.revision };
   }
 
-  reportReplicaSign(): void {
+  reportReplicaState(): void {
     // Nobody else follows this source.
   }
 
--- a/src/control-stream/applied-age.ts
+++ b/src/control-stream/applied-age.ts
@@ -21,7 +21,7 @@
 
 /** Of one controller; read at least at each heartbeat. */
 export class AppliedAge {
-  private agreedAt = Number.NEGATIVE_INFINITY;
+  private upToDateAt = Number.NEGATIVE_INFINITY;
   /** One at a time, so that a controller that keeps up under load is not taken for a late one. */
   private awaited: AwaitedCommit | undefined;
 
@@ -33,11 +33,11 @@
     const quorumAt = now - sinceQuorumMs;
     const { awaited } = this;
     if (awaited !== undefined && appliedIndex >= awaited.index) {
-      this.agreedAt = Math.max(this.agreedAt, awaited.quorumAt);
+      this.upToDateAt = Math.max(this.upToDateAt, awaited.quorumAt);
       this.awaited = undefined;
     }
-    if (appliedIndex >= knownCommitIndex) this.agreedAt = Math.max(this.agreedAt, quorumAt);
+    if (appliedIndex >= knownCommitIndex) this.upToDateAt = Math.max(this.upToDateAt, quorumAt);
     else this.awaited ??= { index: knownCommitIndex, quorumAt };
-    return now - this.agreedAt;
+    return now - this.upToDateAt;
   }
 }
--- a/src/control-stream/heard-controllers.ts
+++ b/src/control-stream/connected-controllers.ts
@@ -5,31 +5,31 @@
 const SEPARATOR = ' ';
 
 /** Counts connections, since a controller may dial again before its last one is found dead. */
-export class HeardControllers {
+export class ConnectedControllers {
   private readonly connections = new Map<string, number>();
   private encoded: Uint8Array | undefined;
 
-  opened(memberId: string): void {
+  recordOpened(memberId: string): void {
     this.connections.set(memberId, (this.connections.get(memberId) ?? 0) + 1);
     this.encoded = undefined;
   }
 
-  closed(memberId: string): void {
-    const left = (this.connections.get(memberId) ?? 0) - 1;
-    if (left > 0) this.connections.set(memberId, left);
+  recordClosed(memberId: string): void {
+    const remaining = (this.connections.get(memberId) ?? 0) - 1;
+    if (remaining > 0) this.connections.set(memberId, remaining);
     else this.connections.delete(memberId);
     this.encoded = undefined;
   }
 
   /** As an answer to another controller; the same object until something changes. */
-  frame(): Uint8Array {
+  answerFrame(): Uint8Array {
     const memberIds = [...this.connections.keys()].join(SEPARATOR);
     this.encoded ??= EXCHANGE_CODEC.encode({ kind: 'hearing', memberIds });
     return this.encoded;
   }
 }
 
-/** Reads {@link HeardControllers.frame}. */
-export function readHearing({ memberIds }: HearingMessage): ReadonlySet<string> {
+/** Reads {@link ConnectedControllers.answerFrame}. */
+export function parseHearing({ memberIds }: HearingMessage): ReadonlySet<string> {
   return new Set(memberIds.split(SEPARATOR));
 }
--- a/src/control-stream/control-stream-client.ts
+++ b/src/control-stream/control-stream-client.ts
@@ -4,7 +4,7 @@
  */
 import type { Stream } from '@most/types';
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
-import type { ReplicaSign } from '../model/replica-sign.js';
+import type { ReplicaReport } from '../model/replica-report.js';
 import type { Logger } from '../observability/logger.js';
 import type { Telemetry } from '../observability/telemetry.js';
 import type { Environment } from '../seams/environment.js';
@@ -16,7 +16,7 @@
 import { SOFTWARE_VERSION } from '../software-version.js';
 import { ClientMetrics } from './client-metrics.js';
 import { NO_CONTROL_STREAM_FAULTS, type ControlStreamFaults } from './control-stream-faults.js';
-import { DaemonCopy } from './daemon-copy.js';
+import { DaemonState } from './daemon-state.js';
 import type { SessionEnd } from './session-end.js';
 import { SourceSelector } from './source-selector.js';
 import type { SessionContext } from './session-context.js';
@@ -36,14 +36,14 @@
 /** {@link ConfigurationSource} over the control stream. */
 export class ControlStreamClient implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
-  readonly replicaSigns: Stream<ReplicaSign>;
+  readonly replicaReports: Stream<ReplicaReport>;
   private readonly context: SessionContext;
   private readonly selector: SourceSelector;
   private readonly logger: Logger;
   private readonly stop = new AbortController();
   private session: SourceSession | undefined;
   /** How the latest session with each controller ended, by member id. */
-  private readonly lastEnds = new Map<string, SessionEnd>();
+  private readonly lastEndReasons = new Map<string, SessionEnd>();
   private readonly finished: Promise<void>;
 
   private constructor(
@@ -54,9 +54,9 @@
   ) {
     const { name, zone, cluster, controllers } = configuration;
     const metrics = new ClientMetrics(telemetry.registry, () => this.freshness().fresh);
-    const copy = new DaemonCopy(faults, metrics);
-    this.revisions = copy.revisions;
-    this.replicaSigns = copy.replicaSigns;
+    const daemonState = new DaemonState(faults, metrics);
+    this.revisions = daemonState.revisions;
+    this.replicaReports = daemonState.replicaReports;
     this.logger = telemetry.logger.child({ component: 'control-stream' });
     this.selector = new SourceSelector(
       controllers,
@@ -68,13 +68,13 @@
       identity: { clusterId: cluster.id, clusterKey: cluster.key, name },
       zone,
       version: SOFTWARE_VERSION,
-      copy,
+      daemonState,
       metrics,
       faults,
       incarnation: Math.max(1, Math.floor(environment.clock.wallTime())),
       reportSequence: 0,
     };
-    this.finished = this.follow();
+    this.finished = this.followControllers();
   }
 
   /** Starts to follow; `current()` is undefined until a source proven fresh was reached. */
@@ -88,17 +88,18 @@
   }
 
   current(): ConfigurationState | undefined {
-    return this.context.copy.held.current();
+    return this.context.daemonState.held.current();
   }
 
   freshness(): ConfigurationFreshness {
-    const { proof } = this.context.copy;
+    const { proof } = this.context.daemonState;
     const fresh = proof.isFresh(this.environment.clock.now());
     return { fresh, committedRevision: proof.committedRevision };
   }
 
-  reportReplicaSign(sign: ReplicaSign): void {
-    if (this.context.copy.observeSign(sign)) this.session?.reportSign(sign);
+  reportReplicaState(report: ReplicaReport): void {
+    if (this.context.daemonState.recordOwnReplicaReport(report))
+      this.session?.sendReplicaReport(report);
   }
 
   /** Member id of the controller that is followed, if any. */
@@ -112,7 +113,7 @@
     await this.finished;
   }
 
-  private async follow(): Promise<void> {
+  private async followControllers(): Promise<void> {
     const { clock } = this.environment;
     while (!this.stop.signal.aborted) {
       const choice = this.selector.next(clock.now(), this.current() !== undefined);
@@ -127,10 +128,10 @@
   private async runSession(endpoint: ControllerEndpoint, stale: boolean): Promise<SessionEnd> {
     const session = new SourceSession(this.context, endpoint, stale);
     this.session = session;
-    const over = new AbortController();
-    void this.returnWhenHealthy(session, over.signal);
+    const sessionEnded = new AbortController();
+    void this.returnWhenHealthy(session, sessionEnded.signal);
     const end = await session.run();
-    over.abort(new Error('session over'));
+    sessionEnded.abort(new Error('session over'));
     this.session = undefined;
     this.context.metrics.sessionsEnded.inc({ reason: end });
     this.logEnd(session, end);
@@ -140,28 +141,31 @@
   /** Says nothing of one more try that failed like the one before. */
   private logEnd({ endpoint, wasWelcomed, detail }: SourceSession, reason: SessionEnd): void {
     const controller = endpoint.memberId;
-    const repeated = this.lastEnds.get(controller) === reason;
-    this.lastEnds.set(controller, reason);
+    const repeated = this.lastEndReasons.get(controller) === reason;
+    this.lastEndReasons.set(controller, reason);
     if (repeated && !wasWelcomed) return;
     const message = wasWelcomed ? 'left controller' : 'cannot follow controller';
     this.logger.info(message, { controller, reason, ...(detail === undefined ? {} : { detail }) });
   }
 
   /** Looks after controllers that are preferred, and moves there once one stays healthy. */
-  private async returnWhenHealthy(session: SourceSession, over: AbortSignal): Promise<void> {
+  private async returnWhenHealthy(
+    session: SourceSession,
+    sessionEnded: AbortSignal,
+  ): Promise<void> {
     const preferred = this.selector.preferredOver(session.endpoint);
     const { clock, random } = this.environment;
-    while (preferred.length > 0 && !over.aborted) {
+    while (preferred.length > 0 && !sessionEnded.aborted) {
       for (const endpoint of preferred) {
         // Jittered, so that the daemons of a zone do not come back at one moment.
         const interval = RETURN_CHECK_INTERVAL_MS * (0.5 + random.nextFloat());
-        await clock.sleep(interval, over).catch(() => undefined);
-        if (over.aborted) return;
+        await clock.sleep(interval, sessionEnded).catch(() => undefined);
+        if (sessionEnded.aborted) return;
         const probe = new SourceProbe(this.context, endpoint);
-        const abandon = (): void => probe.abandon();
-        over.addEventListener('abort', abandon, { once: true });
+        const cancelProbe = (): void => probe.cancel();
+        sessionEnded.addEventListener('abort', cancelProbe, { once: true });
         const healthy = await probe.run();
-        over.removeEventListener('abort', abandon);
+        sessionEnded.removeEventListener('abort', cancelProbe);
         if (!healthy) continue;
         this.selector.recordHealthy(endpoint);
         return session.leave('returned');
--- a/src/control-stream/control-stream-server.ts
+++ b/src/control-stream/control-stream-server.ts
@@ -10,7 +10,7 @@
 import type { EncodedHistoryOptions } from './encoded-history.js';
 import { ServerMetrics } from './server-metrics.js';
 import { SharedReadBarrier } from './shared-read-barrier.js';
-import type { SignBoard } from './sign-board.js';
+import type { ReplicaReportTable } from './replica-report-table.js';
 import { StreamBroadcast } from './stream-broadcast.js';
 import { SubscriberSession, type SubscriberContext } from './subscriber-session.js';
 
@@ -24,9 +24,9 @@
   readonly feed: ConfigurationFeed;
   readonly log: Pick<ReplicatedLog, 'readBarrier' | 'status'>;
   readonly daemons: DaemonDirectory;
-  readonly signs: SignBoard;
+  readonly replicaReports: ReplicaReportTable;
   /** Called when there is something to pass on to other controllers. */
-  readonly onNews: () => void;
+  readonly onUpdate: () => void;
   readonly historyOptions?: EncodedHistoryOptions;
   readonly faults?: ControlStreamFaults;
 }
@@ -44,19 +44,26 @@
     private readonly parts: ControlStreamServerParts,
     telemetry: Telemetry,
   ) {
-    const { clock, memberId, feed, log, daemons, signs, onNews, historyOptions } = parts;
+    const { clock, memberId, feed, log, daemons, replicaReports, onUpdate, historyOptions } = parts;
     const faults = parts.faults ?? NO_CONTROL_STREAM_FAULTS;
     const readStatus = (): ReturnType<ReplicatedLog['status']> => log.status();
-    this.broadcast = new StreamBroadcast(clock, feed, readStatus, signs, faults, historyOptions);
+    this.broadcast = new StreamBroadcast(
+      clock,
+      feed,
+      readStatus,
+      replicaReports,
+      faults,
+      historyOptions,
+    );
     this.context = {
       clock,
       memberId,
       broadcast: this.broadcast,
       barrier: new SharedReadBarrier(log, clock, faults),
-      signs,
+      replicaReports,
       daemons,
       metrics: new ServerMetrics(telemetry.registry),
-      onNews,
+      onUpdate,
     };
     this.finished = this.broadcast.run(this.stopped.signal);
   }
@@ -64,7 +71,7 @@
   /** Serves one daemon whose handshake is done; resolves when its stream is over. */
   async serve(connection: MessageConnection, peer: RemoteIdentity): Promise<void> {
     const session = new SubscriberSession(this.context, connection, peer.name);
-    if (this.stopping) return session.dismiss('stopping');
+    if (this.stopping) return session.sendGoodbye('stopping');
     this.sessions.add(session);
     this.context.metrics.subscribers.set(this.sessions.size);
     try {
@@ -82,14 +89,14 @@
 
   /** A sign that came from elsewhere than a subscriber is to be sent on. */
   notify(): void {
-    this.broadcast.noteSign();
+    this.broadcast.notifyAfterBatch();
   }
 
   /** Asks every daemon to move elsewhere, waits a little, then ends what is left. */
   async stop(): Promise<void> {
     this.stopping = true;
     // Not awaited: a daemon that reads nothing must not hold up the stop.
-    for (const session of this.sessions) void session.dismiss('stopping');
+    for (const session of this.sessions) void session.sendGoodbye('stopping');
     const deadline = this.parts.clock.now() + LEAVE_TIMEOUT_MS;
     while (this.sessions.size > 0 && this.parts.clock.now() < deadline) {
       await this.parts.clock.sleep(LEAVE_TIMEOUT_MS / 100);
--- a/src/control-stream/controller-exchange.ts
+++ b/src/control-stream/controller-exchange.ts
@@ -18,10 +18,10 @@
 import type { DaemonDirectory } from './daemon-directory.js';
 import { EXCHANGE_CODEC, toDaemonRecord, type ExchangeMessage } from './exchange-messages.js';
 import { ExchangeLink } from './exchange-link.js';
-import { HeardControllers } from './heard-controllers.js';
+import { ConnectedControllers } from './connected-controllers.js';
 import { SilenceGuard } from './silence-guard.js';
-import type { SignBoard } from './sign-board.js';
-import { fromSignMessage } from './sign-message.js';
+import type { ReplicaReportTable } from './replica-report-table.js';
+import { fromReplicaReportMessage } from './replica-report-message.js';
 
 /** How often the list of members is looked at. Milliseconds. */
 const MEMBERS_INTERVAL_MS = 1_000;
@@ -37,16 +37,16 @@
   readonly identity: LocalIdentity;
   readonly readMembers: () => readonly ReplicatedLogMember[];
   readonly daemons: DaemonDirectory;
-  readonly signs: SignBoard;
+  readonly replicaReports: ReplicaReportTable;
   /** Called when another controller told of a sign that was not known here. */
-  readonly onSigns: () => void;
+  readonly onReplicaReports: () => void;
   readonly faults?: ControlStreamFaults;
 }
 
 /** One for each controller. */
 export class ControllerExchange {
-  private readonly news: Notifier;
-  private readonly heard = new HeardControllers();
+  private readonly updates: Notifier;
+  private readonly connectedControllers = new ConnectedControllers();
   private readonly links = new Map<string, ExchangeLink>();
   private readonly stopped = new AbortController();
   private readonly finished: Promise<void>;
@@ -56,7 +56,7 @@
     private readonly parts: ControllerExchangeParts,
     telemetry: Telemetry,
   ) {
-    this.news = new Notifier(parts.environment.clock);
+    this.updates = new Notifier(parts.environment.clock);
     this.malformedFrames = new Counter({
       name: 'driftway_exchange_malformed_frames_total',
       help: 'Frames from other controllers that the protocol does not allow.',
@@ -67,30 +67,30 @@
 
   /** There is something to pass on. */
   notify(): void {
-    this.news.notify();
+    this.updates.notify();
   }
 
   /** Receives from one other controller until its connection ends. */
   async serve(connection: MessageConnection, peer: RemoteIdentity): Promise<void> {
     const guard = new SilenceGuard(this.parts.environment.clock, connection, EXCHANGE_SILENCE_MS);
     void guard.run();
-    this.heard.opened(peer.name);
-    let told: Uint8Array | undefined;
+    this.connectedControllers.recordOpened(peer.name);
+    let previousAnswer: Uint8Array | undefined;
     try {
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) break;
-        guard.heard();
-        this.takeAll(EXCHANGE_CODEC.decodeBatch(frame, peer.name), peer.name);
+        guard.recordReceived();
+        this.handleMessages(EXCHANGE_CODEC.decodeBatch(frame, peer.name), peer.name);
         // Tells the sender that its frames arrive, and what need not be sent.
-        const answer = this.heard.frame();
-        await connection.send(answer === told ? KEEP_ALIVE_FRAME : answer);
-        told = answer;
+        const answer = this.connectedControllers.answerFrame();
+        await connection.send(answer === previousAnswer ? KEEP_ALIVE_FRAME : answer);
+        previousAnswer = answer;
       }
     } catch (error) {
       if (isProtocolViolation(error)) this.malformedFrames.inc();
     }
-    this.heard.closed(peer.name);
+    this.connectedControllers.recordClosed(peer.name);
     connection.close();
   }
 
@@ -121,27 +121,33 @@
     for (const member of members) {
       const key = `${member.memberId} ${member.address}`;
       if (this.links.has(key)) continue;
-      this.links.set(key, new ExchangeLink(this.parts, member.memberId, member.address, this.news));
+      this.links.set(
+        key,
+        new ExchangeLink(this.parts, member.memberId, member.address, this.updates),
+      );
     }
   }
 
-  private takeAll(messages: readonly ExchangeMessage[], peer: string): void {
-    let signNews = false;
-    let news = false;
+  private handleMessages(messages: readonly ExchangeMessage[], peer: string): void {
+    let hasNewReplicaReport = false;
+    let hasNewDaemonRecord = false;
     for (const message of messages) {
       if (message.kind === 'daemon') {
-        news = this.parts.daemons.record(toDaemonRecord(message), message.silentMs) || news;
+        hasNewDaemonRecord =
+          this.parts.daemons.record(toDaemonRecord(message), message.silentMs) ||
+          hasNewDaemonRecord;
       }
       if (message.kind === 'scopedSign') {
         const { scope, ...rest } = message;
-        const sign = fromSignMessage({ ...rest, kind: 'sign' });
-        if (sign === undefined) {
+        const report = fromReplicaReportMessage({ ...rest, kind: 'sign' });
+        if (report === undefined) {
           throw new MalformedMessageError('read exchange', peer, 'not a sign of a replica');
         }
-        signNews = this.parts.signs.record({ scope, sign }) || signNews;
+        hasNewReplicaReport =
+          this.parts.replicaReports.record({ scope, report }) || hasNewReplicaReport;
       }
     }
-    if (signNews) this.parts.onSigns();
-    if (signNews || news) this.notify();
+    if (hasNewReplicaReport) this.parts.onReplicaReports();
+    if (hasNewReplicaReport || hasNewDaemonRecord) this.notify();
   }
 }
--- a/src/control-stream/daemon-directory.ts
+++ b/src/control-stream/daemon-directory.ts
@@ -26,19 +26,19 @@
 export const FORGET_AFTER_MS = 2 * 3_600_000;
 
 /** A daemon as shown to operators. */
-export interface KnownDaemon {
+export interface DaemonStatus {
   readonly record: DaemonRecord;
   /** Since its last report reached this controller. Milliseconds. */
   readonly silentMs: number;
 }
 
-interface Sighting {
+interface DaemonEntry {
   record: DaemonRecord;
-  heardAt: number;
-  passedOnAt: number;
+  reportedAt: number;
+  forwardedAt: number;
 }
 
-function saysSomethingNew(record: DaemonRecord, known: DaemonRecord): boolean {
+function hasChanged(record: DaemonRecord, known: DaemonRecord): boolean {
   return (
     record.revision !== known.revision ||
     record.incarnation !== known.incarnation ||
@@ -47,14 +47,14 @@
   );
 }
 
-function describeDaemon({ record, silentMs }: KnownDaemon): DaemonRevision {
+function toDaemonRevision({ record, silentMs }: DaemonStatus): DaemonRevision {
   const { name, zone, version, revision } = record;
   return { name, zone, version, revision, silentMs };
 }
 
 /** One controller's view. */
 export class DaemonDirectory implements ForceTracker {
-  private readonly sightings = new Map<string, Sighting>();
+  private readonly entries = new Map<string, DaemonEntry>();
   private readonly outgoing = new VersionedTable<DaemonRecord>(MAXIMUM_DAEMONS);
 
   constructor(
@@ -68,54 +68,54 @@
   }
 
   /** Records to pass on that changed after `position`, with their present age. */
-  changedAfter(position: number): readonly KnownDaemon[] {
+  changedAfter(position: number): readonly DaemonStatus[] {
     const now = this.clock.now();
     return this.outgoing.changedAfter(position).map((record) => {
-      const heardAt = this.sightings.get(record.name)?.heardAt ?? now;
-      return { record, silentMs: now - heardAt };
+      const reportedAt = this.entries.get(record.name)?.reportedAt ?? now;
+      return { record, silentMs: now - reportedAt };
     });
   }
 
   /** Largest incarnation shown under `name`; 0 when none was. */
   incarnationOf(name: string): number {
-    return this.sightings.get(name)?.record.incarnation ?? 0;
+    return this.entries.get(name)?.record.incarnation ?? 0;
   }
 
   /** Takes in a report given `silentMs` ago; returns whether it has to be passed on now. */
   record(record: DaemonRecord, silentMs = 0): boolean {
     const now = this.clock.now();
-    const known = this.sightings.get(record.name);
+    const known = this.entries.get(record.name);
     if (known !== undefined && !isNewer(record, known.record)) return false;
-    const isNews =
+    const mustForward =
       known === undefined ||
-      saysSomethingNew(record, known.record) ||
-      now - known.passedOnAt >= RENEWAL_INTERVAL_MS;
-    const passedOnAt = isNews ? now : known.passedOnAt;
-    this.sightings.set(record.name, { record, heardAt: now - silentMs, passedOnAt });
-    if (isNews) this.outgoing.put(record.name, record);
-    return isNews;
+      hasChanged(record, known.record) ||
+      now - known.forwardedAt >= RENEWAL_INTERVAL_MS;
+    const forwardedAt = mustForward ? now : known.forwardedAt;
+    this.entries.set(record.name, { record, reportedAt: now - silentMs, forwardedAt });
+    if (mustForward) this.outgoing.put(record.name, record);
+    return mustForward;
   }
 
   /** Daemons that have not said that they stop, by name. */
-  daemons(): KnownDaemon[] {
+  daemons(): DaemonStatus[] {
     const now = this.clock.now();
-    this.forgetOld(now);
-    return [...this.sightings.values()]
+    this.removeExpired(now);
+    return [...this.entries.values()]
       .filter(({ record }) => !record.left)
-      .map(({ record, heardAt }) => ({ record, silentMs: now - heardAt }))
+      .map(({ record, reportedAt }) => ({ record, silentMs: now - reportedAt }))
       .sort((left, right) => (left.record.name < right.record.name ? -1 : 1));
   }
 
   inForce(_revision: number): ForceReport {
-    return { daemons: this.daemons().map(describeDaemon) };
+    return { daemons: this.daemons().map(toDaemonRevision) };
   }
 
-  private forgetOld(now: number): void {
+  private removeExpired(now: number): void {
     const forgetAfter =
       this.faults.forgetSilentDaemons === true ? DAEMON_LEASE_MS : FORGET_AFTER_MS;
-    for (const [name, { heardAt }] of this.sightings) {
-      if (now - heardAt <= forgetAfter) continue;
-      this.sightings.delete(name);
+    for (const [name, { reportedAt }] of this.entries) {
+      if (now - reportedAt <= forgetAfter) continue;
+      this.entries.delete(name);
       this.outgoing.remove(name);
     }
   }
--- a/src/control-stream/daemon-copy.ts
+++ b/src/control-stream/daemon-state.ts
@@ -5,7 +5,7 @@
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
-import { supersedes, type ReplicaSign } from '../model/replica-sign.js';
+import { supersedes, type ReplicaReport } from '../model/replica-report.js';
 import type { ConfigurationState } from '../settings/configuration-state.js';
 import type { ClientMetrics } from './client-metrics.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
@@ -15,19 +15,21 @@
 import { VersionedTable } from './versioned-table.js';
 
 /** Most replicas whose signs are remembered. */
-export const MAXIMUM_SIGNS = 100_000;
+export const MAXIMUM_REPLICA_REPORTS = 100_000;
 
 /** Shared by all sessions of one daemon. */
-export class DaemonCopy {
+export class DaemonState {
   readonly proof = new FreshnessProof();
   readonly revisions: Stream<ConfigurationState>;
-  readonly replicaSigns: Stream<ReplicaSign>;
+  readonly replicaReports: Stream<ReplicaReport>;
   /** Signs that this daemon observed itself. */
-  readonly observedSigns = new VersionedTable<ReplicaSign>(MAXIMUM_SIGNS);
+  readonly ownReplicaReports = new VersionedTable<ReplicaReport>(MAXIMUM_REPLICA_REPORTS);
   readonly held: HeldConfiguration;
-  private readonly knownSigns = new VersionedTable<ReplicaSign>(MAXIMUM_SIGNS);
+  private readonly receivedReplicaReports = new VersionedTable<ReplicaReport>(
+    MAXIMUM_REPLICA_REPORTS,
+  );
   private readonly emitRevision: (state: ConfigurationState) => void;
-  private readonly emitSign: (sign: ReplicaSign) => void;
+  private readonly emitReplicaReport: (report: ReplicaReport) => void;
 
   constructor(
     private readonly faults: ControlStreamFaults,
@@ -35,49 +37,49 @@
   ) {
     this.held = new HeldConfiguration(faults);
     [this.emitRevision, this.revisions] = createAdapter<ConfigurationState>();
-    [this.emitSign, this.replicaSigns] = createAdapter<ReplicaSign>();
+    [this.emitReplicaReport, this.replicaReports] = createAdapter<ReplicaReport>();
   }
 
   /** Returns whether the snapshot could be read. */
-  takeSnapshot({ state, stateHash }: AssembledSnapshot): boolean {
-    const outcome = this.held.offerSnapshot(state, stateHash);
+  applySnapshot({ state, stateHash }: AssembledSnapshot): boolean {
+    const outcome = this.held.applySnapshot(state, stateHash);
     if (outcome === 'lower') this.metrics.lowerRevisionsIgnored.inc();
-    if (outcome === 'applied' || outcome === 'divergence_replaced') this.announce();
+    if (outcome === 'applied' || outcome === 'divergence_replaced') this.emitCurrentRevision();
     return outcome !== 'unreadable';
   }
 
-  takeDelta(delta: ReceivedDelta): DeltaOutcome {
-    const outcome = this.held.offerDelta(delta);
-    if (outcome === 'applied') this.announce();
+  applyDelta(delta: ReceivedDelta): DeltaOutcome {
+    const outcome = this.held.applyDelta(delta);
+    if (outcome === 'applied') this.emitCurrentRevision();
     return outcome;
   }
 
   /** A sign that another daemon or the platform gave. */
-  takeSign(sign: ReplicaSign): void {
-    const known = this.knownSigns.get(sign.replicaId);
-    if (!this.isNews(sign, known)) return;
-    this.knownSigns.put(sign.replicaId, sign);
-    this.emitSign(sign);
+  applyReplicaReport(report: ReplicaReport): void {
+    const known = this.receivedReplicaReports.get(report.replicaId);
+    if (!this.isNewer(report, known)) return;
+    this.receivedReplicaReports.put(report.replicaId, report);
+    this.emitReplicaReport(report);
   }
 
   /** A sign that this daemon saw; returns whether it is news. */
-  observeSign(sign: ReplicaSign): boolean {
-    const known = this.observedSigns.get(sign.replicaId);
-    if (!this.isNews(sign, known)) return false;
-    this.observedSigns.put(sign.replicaId, sign);
+  recordOwnReplicaReport(report: ReplicaReport): boolean {
+    const known = this.ownReplicaReports.get(report.replicaId);
+    if (!this.isNewer(report, known)) return false;
+    this.ownReplicaReports.put(report.replicaId, report);
     return true;
   }
 
-  private isNews(sign: ReplicaSign, known: ReplicaSign | undefined): boolean {
+  private isNewer(report: ReplicaReport, known: ReplicaReport | undefined): boolean {
     if (known === undefined || this.faults.acceptOlderSigns === true) return true;
-    return supersedes(sign, known);
+    return supersedes(report, known);
   }
 
-  private announce(): void {
+  private emitCurrentRevision(): void {
     const state = this.held.current();
     if (state === undefined) return;
     this.metrics.revision.set(state.revision);
-    this.proof.noteCommitted(state.revision);
+    this.proof.recordCommitted(state.revision);
     this.emitRevision(state);
   }
 }
--- a/src/control-stream/encoded-history.ts
+++ b/src/control-stream/encoded-history.ts
@@ -44,8 +44,8 @@
   ) {
     this.hash = hashConfiguration(feed.current());
     this.subscriptions = [
-      observe(feed.accepted, (change) => this.add(change)),
-      observe(feed.restored, () => this.restart()),
+      observe(feed.accepted, (change) => this.addChange(change)),
+      observe(feed.restored, () => this.reset()),
     ];
   }
 
@@ -75,7 +75,7 @@
     for (const subscription of this.subscriptions) subscription.dispose();
   }
 
-  private add(change: AcceptedChange): void {
+  private addChange(change: AcceptedChange): void {
     this.hash = hashConfiguration(this.feed.current());
     this.snapshot = undefined;
     const frame = STREAM_CODEC.encode({
@@ -91,7 +91,7 @@
     this.onChange();
   }
 
-  private restart(): void {
+  private reset(): void {
     this.hash = hashConfiguration(this.feed.current());
     this.deltas = [];
     this.snapshot = undefined;
--- a/src/control-stream/exchange-link.ts
+++ b/src/control-stream/exchange-link.ts
@@ -6,7 +6,7 @@
 import { EXCHANGE_SILENCE_MS, type ControllerExchangeParts } from './controller-exchange.js';
 import type { DaemonRecord } from './daemon-record.js';
 import { EXCHANGE_CODEC, type ExchangeMessage } from './exchange-messages.js';
-import { readHearing } from './heard-controllers.js';
+import { parseHearing } from './connected-controllers.js';
 import { SilenceGuard } from './silence-guard.js';
 import { CONNECT_TIMEOUT_MS, INITIAL_BACK_OFF_MS, MAXIMUM_BACK_OFF_MS } from './stream-timing.js';
 
@@ -19,24 +19,24 @@
 /** Most messages of one frame. */
 const MESSAGES_PER_FRAME = 1_000;
 
-const NOTHING_HEARD: ReadonlySet<string> = new Set();
+const NO_CONTROLLERS: ReadonlySet<string> = new Set();
 
 /** Reconnects until stopped. */
 export class ExchangeLink {
   private readonly stopped = new AbortController();
   private connection: MessageConnection | undefined;
   /** Controllers that the other one hears itself, as it last said. */
-  private peerHears: ReadonlySet<string> = NOTHING_HEARD;
+  private connectedToPeer: ReadonlySet<string> = NO_CONTROLLERS;
   private daemonPosition = 0;
-  private signPosition = 0;
-  private sentAt = Number.NEGATIVE_INFINITY;
+  private replicaReportPosition = 0;
+  private lastSentAt = Number.NEGATIVE_INFINITY;
   private readonly finished: Promise<void>;
 
   constructor(
     private readonly parts: ControllerExchangeParts,
     private readonly memberId: string,
     private readonly address: string,
-    private readonly news: Notifier,
+    private readonly updates: Notifier,
   ) {
     this.finished = this.run();
   }
@@ -44,7 +44,7 @@
   async stop(): Promise<void> {
     this.stopped.abort(new Error('stopped'));
     this.connection?.close();
-    this.news.notify();
+    this.updates.notify();
     await this.finished;
   }
 
@@ -72,7 +72,7 @@
       this.connection = connection;
       open = true;
       void this.receiveAnswers(connection);
-      await this.sendNews(connection);
+      await this.sendUpdates(connection);
     } catch {
       // Counted by the accepting side; tried again after a pause.
     } finally {
@@ -83,23 +83,23 @@
   }
 
   /** From the beginning on each connection: the other side may have lost what it knew. */
-  private async sendNews(connection: MessageConnection): Promise<void> {
-    const { daemons, signs } = this.parts;
-    this.peerHears = NOTHING_HEARD;
+  private async sendUpdates(connection: MessageConnection): Promise<void> {
+    const { daemons, replicaReports } = this.parts;
+    this.connectedToPeer = NO_CONTROLLERS;
     this.daemonPosition = 0;
-    this.signPosition = 0;
-    this.sentAt = Number.NEGATIVE_INFINITY;
+    this.replicaReportPosition = 0;
+    this.lastSentAt = Number.NEGATIVE_INFINITY;
     while (!this.stopped.signal.aborted) {
-      const news = this.news.wait(KEEP_ALIVE_INTERVAL_MS);
-      const messages = this.messagesDue();
+      const nextUpdate = this.updates.wait(KEEP_ALIVE_INTERVAL_MS);
+      const messages = this.nextMessages();
       this.daemonPosition = daemons.position;
-      this.signPosition = signs.position;
+      this.replicaReportPosition = replicaReports.position;
       for (let start = 0; start < messages.length; start += MESSAGES_PER_FRAME) {
         const batch = messages.slice(start, start + MESSAGES_PER_FRAME);
         await connection.send(EXCHANGE_CODEC.encodeBatch(batch));
-        this.sentAt = this.parts.environment.clock.now();
+        this.lastSentAt = this.parts.environment.clock.now();
       }
-      await news;
+      await nextUpdate;
       await this.pause(BATCH_INTERVAL_MS);
     }
   }
@@ -116,9 +116,9 @@
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) break;
-        guard.heard();
+        guard.recordReceived();
         for (const message of EXCHANGE_CODEC.decodeBatch(frame, this.memberId)) {
-          if (message.kind === 'hearing') this.takeHearing(readHearing(message));
+          if (message.kind === 'hearing') this.handleHearing(parseHearing(message));
         }
       }
     } catch {
@@ -127,36 +127,36 @@
     connection.close();
   }
 
-  private takeHearing(hears: ReadonlySet<string>): void {
-    const lost = [...this.peerHears].some((memberId) => !hears.has(memberId));
-    this.peerHears = hears;
-    if (!lost) return;
+  private handleHearing(connected: ReadonlySet<string>): void {
+    const hasDisconnected = [...this.connectedToPeer].some((memberId) => !connected.has(memberId));
+    this.connectedToPeer = connected;
+    if (!hasDisconnected) return;
     // What was left to a controller that the other one no longer hears.
     this.daemonPosition = 0;
-    this.news.notify();
+    this.updates.notify();
   }
 
-  private mustSend({ controller }: DaemonRecord): boolean {
+  private shouldSend({ controller }: DaemonRecord): boolean {
     if (controller === this.parts.identity.name) return true;
-    return controller !== this.memberId && !this.peerHears.has(controller);
+    return controller !== this.memberId && !this.connectedToPeer.has(controller);
   }
 
-  private collect(): ExchangeMessage[] {
+  private collectUpdates(): ExchangeMessage[] {
     const daemons = this.parts.daemons
       .changedAfter(this.daemonPosition)
-      .filter(({ record }) => this.mustSend(record))
+      .filter(({ record }) => this.shouldSend(record))
       .map(({ record, silentMs }) => ({ kind: 'daemon' as const, ...record, silentMs }));
-    const signs = this.parts.signs
-      .changedAfter(this.signPosition)
-      .map(({ scope, sign }) => ({ kind: 'scopedSign' as const, scope, ...sign }));
-    return this.parts.faults?.withholdReports === true ? [] : [...daemons, ...signs];
+    const replicaReports = this.parts.replicaReports
+      .changedAfter(this.replicaReportPosition)
+      .map(({ scope, report }) => ({ kind: 'scopedSign' as const, scope, ...report }));
+    return this.parts.faults?.withholdReports === true ? [] : [...daemons, ...replicaReports];
   }
 
   /** What is new to the other controller; a sign of life when there is nothing, and it is time. */
-  private messagesDue(): ExchangeMessage[] {
-    const messages = this.collect();
+  private nextMessages(): ExchangeMessage[] {
+    const messages = this.collectUpdates();
     if (messages.length > 0) return messages;
-    const isSilent = this.parts.environment.clock.now() - this.sentAt >= KEEP_ALIVE_INTERVAL_MS;
+    const isSilent = this.parts.environment.clock.now() - this.lastSentAt >= KEEP_ALIVE_INTERVAL_MS;
     return isSilent ? [{ kind: 'keepAlive' }] : [];
   }
 
--- a/src/control-stream/exchange-messages.ts
+++ b/src/control-stream/exchange-messages.ts
@@ -10,7 +10,7 @@
 }
 
 /** A sign about a replica and where it holds. */
-export interface ScopedSignMessage {
+export interface ScopedReplicaReportMessage {
   readonly kind: 'scopedSign';
   /** A zone, or empty for every zone. */
   readonly scope: string;
@@ -32,7 +32,8 @@
   readonly memberIds: string;
 }
 
-export type ExchangeMessage = DaemonMessage | ScopedSignMessage | KeepAliveMessage | HearingMessage;
+export type ExchangeMessage =
+  DaemonMessage | ScopedReplicaReportMessage | KeepAliveMessage | HearingMessage;
 
 export const EXCHANGE_CODEC = new MessageCodec<ExchangeMessage>({
   daemon: {
--- a/src/control-stream/freshness-proof.ts
+++ b/src/control-stream/freshness-proof.ts
@@ -7,12 +7,12 @@
   private highestCommitted = 0;
 
   /** A source, whose quorum was heard at `quorumAt`, holds the revision that is in force here. */
-  prove(quorumAt: number): void {
+  recordProof(quorumAt: number): void {
     this.provenAt = Math.max(this.provenAt, quorumAt);
   }
 
   /** Some source knows `revision` to be committed. */
-  noteCommitted(revision: number): void {
+  recordCommitted(revision: number): void {
     this.highestCommitted = Math.max(this.highestCommitted, revision);
   }
 
--- a/src/control-stream/held-configuration.ts
+++ b/src/control-stream/held-configuration.ts
@@ -55,18 +55,18 @@
   }
 
   /** Whether a source that holds `revision` with `stateHash` contradicts what is in force. */
-  contradicts(revision: number, stateHash: string): boolean {
+  divergesFrom(revision: number, stateHash: string): boolean {
     return revision === this.revision && stateHash !== this.hash;
   }
 
   /** Whether a source at `revision` ought to have sent something by now. */
-  mustFollow(revision: number): boolean {
+  isBehind(revision: number): boolean {
     return this.faults.applyLowerRevision === true
       ? revision !== this.revision
       : revision > this.revision;
   }
 
-  offerSnapshot(state: ConfigurationState, stateHash: string): SnapshotOutcome {
+  applySnapshot(state: ConfigurationState, stateHash: string): SnapshotOutcome {
     if (hashConfiguration(state) !== stateHash) return 'unreadable';
     if (state.revision < this.revision && this.faults.applyLowerRevision !== true) return 'lower';
     if (state.revision === this.revision && stateHash === this.hash) return 'equal';
@@ -76,7 +76,7 @@
     return replaced ? 'divergence_replaced' : 'applied';
   }
 
-  offerDelta({ change, stateHash }: ReceivedDelta): DeltaOutcome {
+  applyDelta({ change, stateHash }: ReceivedDelta): DeltaOutcome {
     if (this.state === undefined) return 'gap';
     if (change.revision <= this.state.revision) return 'known';
     if (change.revision !== this.state.revision + 1) return 'gap';
--- a/src/control-stream/sign-board.ts
+++ b/src/control-stream/replica-report-table.ts
@@ -4,9 +4,9 @@
  * everywhere. That a router finds a replica gone holds for its zone alone,
  * since the cause may be the zone's own cut.
  */
-import { supersedes, type ReplicaSign } from '../model/replica-sign.js';
+import { supersedes, type ReplicaReport } from '../model/replica-report.js';
 import { NO_CONTROL_STREAM_FAULTS, type ControlStreamFaults } from './control-stream-faults.js';
-import { toSignMessage } from './sign-message.js';
+import { toReplicaReportMessage } from './replica-report-message.js';
 import { STREAM_CODEC } from './stream-messages.js';
 import { VersionedTable } from './versioned-table.js';
 
@@ -14,32 +14,32 @@
 export const PLATFORM_OBSERVER = 'platform';
 
 /** Scope of signs that hold in every zone. */
-export const EVERYWHERE = '';
+export const ALL_ZONES = '';
 
 /** Most replicas and zones whose signs are kept. */
 const MAXIMUM_ENTRIES = 100_000;
 
 /** A sign and the zone it holds for. */
-export interface ScopedSign {
-  /** A zone, or {@link EVERYWHERE}. */
+export interface ScopedReplicaReport {
+  /** A zone, or {@link ALL_ZONES}. */
   readonly scope: string;
-  readonly sign: ReplicaSign;
+  readonly report: ReplicaReport;
 }
 
-interface BoardEntry extends ScopedSign {
+interface TableEntry extends ScopedReplicaReport {
   /** The sign's message, encoded once for all subscribers. */
   readonly bytes: Uint8Array;
 }
 
 /** Where a sign observed in `zone` holds. */
-export function scopeOf(sign: ReplicaSign, zone: string): string {
-  const inferred = sign.state === 'gone' && sign.observedBy !== PLATFORM_OBSERVER;
-  return inferred ? zone : EVERYWHERE;
+export function scopeOf(report: ReplicaReport, zone: string): string {
+  const inferred = report.state === 'gone' && report.observedBy !== PLATFORM_OBSERVER;
+  return inferred ? zone : ALL_ZONES;
 }
 
 /** Signs by scope and replica. */
-export class SignBoard {
-  private readonly table = new VersionedTable<BoardEntry>(MAXIMUM_ENTRIES);
+export class ReplicaReportTable {
+  private readonly table = new VersionedTable<TableEntry>(MAXIMUM_ENTRIES);
 
   constructor(private readonly faults: ControlStreamFaults = NO_CONTROL_STREAM_FAULTS) {}
 
@@ -48,15 +48,15 @@
   }
 
   /** Returns whether the sign is news. An older one never replaces a newer one. */
-  record({ scope, sign }: ScopedSign): boolean {
-    if (this.isKnown(scope, sign) || this.isKnown(EVERYWHERE, sign)) return false;
-    const bytes = STREAM_CODEC.encode(toSignMessage(sign));
-    this.table.put(`${scope}/${sign.replicaId}`, { scope, sign, bytes });
+  record({ scope, report }: ScopedReplicaReport): boolean {
+    if (this.isKnown(scope, report) || this.isKnown(ALL_ZONES, report)) return false;
+    const bytes = STREAM_CODEC.encode(toReplicaReportMessage(report));
+    this.table.put(`${scope}/${report.replicaId}`, { scope, report, bytes });
     return true;
   }
 
   /** Signs changed after `position`, for another controller. */
-  changedAfter(position: number): readonly ScopedSign[] {
+  changedAfter(position: number): readonly ScopedReplicaReport[] {
     return this.table.changedAfter(position);
   }
 
@@ -64,14 +64,14 @@
   frameAfter(position: number, zone: string): Uint8Array | undefined {
     const changed = this.table
       .changedAfter(position)
-      .filter(({ scope }) => scope === EVERYWHERE || scope === zone);
+      .filter(({ scope }) => scope === ALL_ZONES || scope === zone);
     if (changed.length === 0) return undefined;
     return Buffer.concat(changed.map(({ bytes }) => bytes));
   }
 
-  private isKnown(scope: string, sign: ReplicaSign): boolean {
+  private isKnown(scope: string, report: ReplicaReport): boolean {
     if (this.faults.acceptOlderSigns === true) return false;
-    const known = this.table.get(`${scope}/${sign.replicaId}`)?.sign;
-    return known !== undefined && !supersedes(sign, known);
+    const known = this.table.get(`${scope}/${report.replicaId}`)?.report;
+    return known !== undefined && !supersedes(report, known);
   }
 }
--- a/src/control-stream/server-metrics.ts
+++ b/src/control-stream/server-metrics.ts
@@ -8,7 +8,7 @@
   readonly malformedFrames: Counter;
   readonly supersededReports: Counter;
   readonly resyncs: Counter<'reason'>;
-  readonly ended: Counter<'reason'>;
+  readonly streamsEnded: Counter<'reason'>;
 
   constructor(registry: Registry) {
     const registers = [registry];
@@ -38,7 +38,7 @@
       labelNames: ['reason'],
       registers,
     });
-    this.ended = new Counter({
+    this.streamsEnded = new Counter({
       name: 'driftway_control_stream_subscribers_ended_total',
       help: 'Streams that ended, by how.',
       labelNames: ['reason'],
--- a/src/control-stream/session-context.ts
+++ b/src/control-stream/session-context.ts
@@ -3,7 +3,7 @@
 import type { Environment } from '../seams/environment.js';
 import type { ClientMetrics } from './client-metrics.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
-import type { DaemonCopy } from './daemon-copy.js';
+import type { DaemonState } from './daemon-state.js';
 
 /** One for each daemon. */
 export interface SessionContext {
@@ -12,7 +12,7 @@
   readonly zone: string;
   /** Of the software. */
   readonly version: string;
-  readonly copy: DaemonCopy;
+  readonly daemonState: DaemonState;
   readonly metrics: ClientMetrics;
   readonly faults: ControlStreamFaults;
   /** Of this process; raised when an earlier process of the name showed a larger one. */
--- a/src/control-stream/silence-guard.ts
+++ b/src/control-stream/silence-guard.ts
@@ -4,20 +4,20 @@
 
 /** Of one connection. */
 export class SilenceGuard {
-  private heardAt: number;
+  private lastReceivedAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly connection: MessageConnection,
     /** Milliseconds. */
-    private readonly longestSilence: number,
+    private readonly timeoutMs: number,
   ) {
-    this.heardAt = clock.now();
+    this.lastReceivedAt = clock.now();
   }
 
   /** Something arrived. */
-  heard(): void {
-    this.heardAt = this.clock.now();
+  recordReceived(): void {
+    this.lastReceivedAt = this.clock.now();
   }
 
   /** Resolves once the connection is closed, by whomever. */
@@ -25,7 +25,7 @@
     const closed = new AbortController();
     void this.connection.closed.then(() => closed.abort(new Error('closed')));
     while (!closed.signal.aborted) {
-      const remaining = this.heardAt + this.longestSilence - this.clock.now();
+      const remaining = this.lastReceivedAt + this.timeoutMs - this.clock.now();
       // A rest below the clock's resolution would never pass.
       if (remaining < 1) return this.connection.close();
       await this.clock.sleep(remaining, closed.signal).catch(() => undefined);
--- a/src/control-stream/source-link.ts
+++ b/src/control-stream/source-link.ts
@@ -20,7 +20,7 @@
   private connection: MessageConnection | undefined;
   private reason: SessionEnd | undefined;
   private cause: unknown;
-  private readonly over = new AbortController();
+  private readonly endSignal = new AbortController();
 
   constructor(
     private readonly context: SessionContext,
@@ -46,14 +46,14 @@
    */
   async run(
     subscription: SubscribeMessage,
-    take: (message: StreamMessage) => void,
+    handle: (message: StreamMessage) => void,
   ): Promise<SessionEnd> {
     try {
       const connection = await this.open();
       if (connection !== undefined) {
         void this.watchSource();
         await connection.send(STREAM_CODEC.encode(subscription));
-        await this.receiveAll(connection, take);
+        await this.receiveAll(connection, handle);
       }
     } catch (error) {
       const malformed = isProtocolViolation(error);
@@ -67,7 +67,7 @@
   end(reason: SessionEnd, cause?: unknown): SessionEnd {
     if (this.reason === undefined) this.cause = cause;
     this.reason ??= reason;
-    this.over.abort(new Error(reason));
+    this.endSignal.abort(new Error(reason));
     this.connection?.close();
     return this.reason;
   }
@@ -84,7 +84,7 @@
   /** Waits; returns whether the connection still stands afterwards. */
   async pause(milliseconds: number): Promise<boolean> {
     try {
-      await this.context.environment.clock.sleep(milliseconds, this.over.signal);
+      await this.context.environment.clock.sleep(milliseconds, this.endSignal.signal);
       return true;
     } catch {
       return false;
@@ -113,20 +113,20 @@
       this.connection.close();
       return undefined;
     }
-    this.watch.opened(environment.clock.now());
+    this.watch.recordOpened(environment.clock.now());
     return this.connection;
   }
 
   private async receiveAll(
     connection: MessageConnection,
-    take: (message: StreamMessage) => void,
+    handle: (message: StreamMessage) => void,
   ): Promise<void> {
     while (!this.ended) {
       const frame = await connection.receive();
       if (frame === undefined || this.ended) return;
-      this.watch.heard(this.context.environment.clock.now());
+      this.watch.recordReceived(this.context.environment.clock.now());
       this.context.metrics.receivedBytes.inc(frame.length);
-      for (const message of STREAM_CODEC.decodeBatch(frame, connection.peer)) take(message);
+      for (const message of STREAM_CODEC.decodeBatch(frame, connection.peer)) handle(message);
     }
   }
 
--- a/src/control-stream/source-probe.ts
+++ b/src/control-stream/source-probe.ts
@@ -19,37 +19,37 @@
 
   /** Whether the controller was reached, in time and with a quorum for all of `RETURN_AFTER_MS`. */
   async run(): Promise<boolean> {
-    const { incarnation, zone, version, copy } = this.context;
-    void this.succeedLater();
+    const { incarnation, zone, version, daemonState } = this.context;
+    void this.awaitHealthyPeriod();
     await this.link.run(
       {
         kind: 'subscribe',
         incarnation,
         zone,
         version,
-        heldRevision: copy.held.revision,
+        heldRevision: daemonState.held.revision,
         probe: true,
       },
-      (message) => this.take(message),
+      (message) => this.handle(message),
     );
     return this.healthy;
   }
 
-  abandon(): void {
+  cancel(): void {
     this.link.end('closed');
   }
 
-  private take(message: StreamMessage): void {
-    const { environment, copy } = this.context;
+  private handle(message: StreamMessage): void {
+    const { environment, daemonState } = this.context;
     const now = environment.clock.now();
-    if (message.kind === 'welcome') this.link.watch.welcomed(message.sourceTime, false, now);
+    if (message.kind === 'welcome') this.link.watch.recordWelcome(message.sourceTime, false, now);
     if (message.kind === 'goodbye') this.link.end('stopping');
     if (message.kind !== 'heartbeat') return;
-    this.link.watch.heartbeat(message, now);
-    this.link.watch.compare(copy.held.revision, message.committedRevision, now);
+    this.link.watch.recordHeartbeat(message, now);
+    this.link.watch.compareRevisions(daemonState.held.revision, message.committedRevision, now);
   }
 
-  private async succeedLater(): Promise<void> {
+  private async awaitHealthyPeriod(): Promise<void> {
     const lasted = await this.link.pause(RETURN_AFTER_MS);
     this.healthy = lasted && this.link.watch.isWelcomed;
     this.link.end('closed');
--- a/src/control-stream/source-session.ts
+++ b/src/control-stream/source-session.ts
@@ -3,11 +3,11 @@
  * then take what arrives until either side ends it.
  */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
-import type { ReplicaSign } from '../model/replica-sign.js';
+import type { ReplicaReport } from '../model/replica-report.js';
 import type { AcceptedChange } from '../settings/accepted-change.js';
 import type { SessionContext } from './session-context.js';
 import type { SessionEnd } from './session-end.js';
-import { fromSignMessage, toSignMessage } from './sign-message.js';
+import { fromReplicaReportMessage, toReplicaReportMessage } from './replica-report-message.js';
 import { SnapshotAssembler } from './snapshot-assembler.js';
 import { SourceLink } from './source-link.js';
 import {
@@ -16,7 +16,7 @@
   type GoodbyeMessage,
   type HeartbeatMessage,
   type ResyncReason,
-  type SignMessage,
+  type ReplicaReportMessage,
   type SnapshotBeginMessage,
   type SnapshotChunkMessage,
   type StreamMessage,
@@ -31,7 +31,7 @@
 export class SourceSession {
   private readonly link: SourceLink;
   private readonly assembler: SnapshotAssembler;
-  private awaitingSnapshot: boolean;
+  private isAwaitingSnapshot: boolean;
 
   constructor(
     private readonly context: SessionContext,
@@ -42,7 +42,7 @@
     const staleUntil = tolerateStale ? now + STALE_STAY_MS : Number.NEGATIVE_INFINITY;
     this.link = new SourceLink(context, endpoint, staleUntil);
     this.assembler = new SnapshotAssembler(endpoint.memberId);
-    this.awaitingSnapshot = context.copy.held.revision === NO_REVISION;
+    this.isAwaitingSnapshot = context.daemonState.held.revision === NO_REVISION;
   }
 
   /** Whether the controller took the daemon on. */
@@ -57,12 +57,12 @@
 
   /** Resolves when the session is over; never rejects. */
   run(): Promise<SessionEnd> {
-    const { incarnation, zone, version, copy } = this.context;
-    const heldRevision = copy.held.revision;
+    const { incarnation, zone, version, daemonState } = this.context;
+    const heldRevision = daemonState.held.revision;
     void this.reportRegularly();
     return this.link.run(
       { kind: 'subscribe', incarnation, zone, version, heldRevision, probe: false },
-      (message) => this.take(message),
+      (message) => this.handle(message),
     );
   }
 
@@ -78,38 +78,38 @@
   }
 
   /** Tells the controller which revision is in force. */
-  report(): void {
+  reportRevision(): void {
     this.context.reportSequence += 1;
-    const { reportSequence: sequence, copy } = this.context;
-    void this.link.send({ kind: 'report', sequence, revision: copy.held.revision });
+    const { reportSequence: sequence, daemonState } = this.context;
+    void this.link.send({ kind: 'report', sequence, revision: daemonState.held.revision });
   }
 
-  reportSign(sign: ReplicaSign): void {
-    void this.link.send(toSignMessage(sign));
+  sendReplicaReport(report: ReplicaReport): void {
+    void this.link.send(toReplicaReportMessage(report));
   }
 
-  private take(message: StreamMessage): void {
+  private handle(message: StreamMessage): void {
     switch (message.kind) {
       case 'welcome':
-        return this.takeWelcome(message);
+        return this.handleWelcome(message);
       case 'snapshotBegin':
-        return this.takeBegin(message);
+        return this.handleSnapshotBegin(message);
       case 'snapshotChunk':
-        return this.takeChunk(message);
+        return this.handleSnapshotChunk(message);
       case 'delta':
-        return this.takeDelta(message);
+        return this.handleDelta(message);
       case 'heartbeat':
-        return this.takeHeartbeat(message);
+        return this.handleHeartbeat(message);
       case 'sign':
-        return this.takeSign(message);
+        return this.handleReplicaReport(message);
       case 'goodbye':
-        return this.takeGoodbye(message);
+        return this.handleGoodbye(message);
       default:
         throw this.link.malformed(`a ${message.kind} message from a controller`);
     }
   }
 
-  private takeWelcome({ provenFresh, knownIncarnation, sourceTime }: WelcomeMessage): void {
+  private handleWelcome({ provenFresh, knownIncarnation, sourceTime }: WelcomeMessage): void {
     const { context } = this;
     if (knownIncarnation > context.incarnation) {
       context.incarnation = knownIncarnation + 1;
@@ -118,39 +118,40 @@
     }
     // A daemon that holds nothing may have held more before its restart than
     // this source ever saw; only a source proven fresh excludes that.
-    if (!provenFresh && context.copy.held.revision === NO_REVISION) {
+    if (!provenFresh && context.daemonState.held.revision === NO_REVISION) {
       this.link.end('cut_off');
       return;
     }
-    this.link.watch.welcomed(sourceTime, provenFresh, context.environment.clock.now());
-    for (const sign of context.copy.observedSigns.values()) this.reportSign(sign);
+    this.link.watch.recordWelcome(sourceTime, provenFresh, context.environment.clock.now());
+    for (const report of context.daemonState.ownReplicaReports.values())
+      this.sendReplicaReport(report);
   }
 
-  private takeBegin(message: SnapshotBeginMessage): void {
-    this.awaitingSnapshot = true;
-    this.link.watch.snapshotBegan();
+  private handleSnapshotBegin(message: SnapshotBeginMessage): void {
+    this.isAwaitingSnapshot = true;
+    this.link.watch.recordSnapshotBegin();
     this.assembler.begin(message);
   }
 
-  private takeChunk(message: SnapshotChunkMessage): void {
+  private handleSnapshotChunk(message: SnapshotChunkMessage): void {
     const snapshot = this.assembler.add(message);
     if (snapshot === undefined) return;
     if (!this.link.watch.isWelcomed)
       throw this.link.malformed('a configuration before the welcome');
-    this.awaitingSnapshot = false;
-    this.link.watch.snapshotArrived(this.context.environment.clock.now());
-    if (!this.context.copy.takeSnapshot(snapshot))
+    this.isAwaitingSnapshot = false;
+    this.link.watch.recordSnapshotEnd(this.context.environment.clock.now());
+    if (!this.context.daemonState.applySnapshot(snapshot))
       throw this.link.malformed('not the hashed content');
-    this.report();
+    this.reportRevision();
   }
 
-  private takeDelta(message: DeltaMessage): void {
+  private handleDelta(message: DeltaMessage): void {
     // What arrives while a snapshot is under way is contained in it or follows it.
-    if (this.awaitingSnapshot) return;
+    if (this.isAwaitingSnapshot) return;
     const change = this.parseChange(message);
-    const outcome = this.context.copy.takeDelta({ change, stateHash: message.stateHash });
-    if (outcome === 'applied') this.report();
-    if (outcome === 'gap' || outcome === 'divergence') this.resync(outcome);
+    const outcome = this.context.daemonState.applyDelta({ change, stateHash: message.stateHash });
+    if (outcome === 'applied') this.reportRevision();
+    if (outcome === 'gap' || outcome === 'divergence') this.requestSnapshot(outcome);
   }
 
   private parseChange(message: DeltaMessage): AcceptedChange {
@@ -166,39 +167,39 @@
     return change;
   }
 
-  private takeHeartbeat(message: HeartbeatMessage): void {
-    const { copy, environment } = this.context;
+  private handleHeartbeat(message: HeartbeatMessage): void {
+    const { daemonState, environment } = this.context;
     const { committedRevision, stateHash } = message;
     const now = environment.clock.now();
-    const quorumAt = this.link.watch.heartbeat(message, now);
-    copy.proof.noteCommitted(committedRevision);
-    this.link.watch.compare(copy.held.revision, committedRevision, now);
-    if (this.awaitingSnapshot) return;
-    if (copy.held.contradicts(committedRevision, stateHash)) {
-      this.resync('divergence');
+    const quorumAt = this.link.watch.recordHeartbeat(message, now);
+    daemonState.proof.recordCommitted(committedRevision);
+    this.link.watch.compareRevisions(daemonState.held.revision, committedRevision, now);
+    if (this.isAwaitingSnapshot) return;
+    if (daemonState.held.divergesFrom(committedRevision, stateHash)) {
+      this.requestSnapshot('divergence');
       return;
     }
-    if (copy.held.revision === committedRevision) copy.proof.prove(quorumAt);
-    if (copy.held.mustFollow(committedRevision)) this.resync('gap');
+    if (daemonState.held.revision === committedRevision) daemonState.proof.recordProof(quorumAt);
+    if (daemonState.held.isBehind(committedRevision)) this.requestSnapshot('gap');
   }
 
-  private takeSign(message: SignMessage): void {
-    const sign = fromSignMessage(message);
-    if (sign === undefined) throw this.link.malformed('not a sign of a replica');
-    this.context.copy.takeSign(sign);
+  private handleReplicaReport(message: ReplicaReportMessage): void {
+    const report = fromReplicaReportMessage(message);
+    if (report === undefined) throw this.link.malformed('not a sign of a replica');
+    this.context.daemonState.applyReplicaReport(report);
   }
 
-  private takeGoodbye({ reason }: GoodbyeMessage): void {
+  private handleGoodbye({ reason }: GoodbyeMessage): void {
     this.link.end(reason === 'not_proven_fresh' ? 'cut_off' : 'stopping');
   }
 
-  private resync(reason: ResyncReason): void {
+  private requestSnapshot(reason: ResyncReason): void {
     this.context.metrics.resyncs.inc({ reason });
-    this.awaitingSnapshot = true;
+    this.isAwaitingSnapshot = true;
     void this.link.send({ kind: 'resync', reason });
   }
 
   private async reportRegularly(): Promise<void> {
-    while (await this.link.pause(REPORT_INTERVAL_MS)) this.report();
+    while (await this.link.pause(REPORT_INTERVAL_MS)) this.reportRevision();
   }
 }
--- a/src/control-stream/source-watch.ts
+++ b/src/control-stream/source-watch.ts
@@ -6,7 +6,7 @@
 
 /** What one session saw of its source. Times are of the daemon's own clock. */
 export class SourceWatch {
-  private heardAt: number;
+  private lastReceivedAt: number;
   private quorumAt: number;
   private openedAt: number;
   /** When the source proved itself fresh; a heartbeat written before may not know of it. */
@@ -20,7 +20,7 @@
     /** Until then a source without a quorum is not left. */
     private readonly staleUntil: number,
   ) {
-    this.heardAt = now;
+    this.lastReceivedAt = now;
     this.quorumAt = now;
     this.openedAt = now;
   }
@@ -30,53 +30,53 @@
   }
 
   /** The handshake is done. */
-  opened(now: number): void {
-    this.heardAt = now;
+  recordOpened(now: number): void {
+    this.lastReceivedAt = now;
     this.quorumAt = now;
     this.openedAt = now;
   }
 
-  welcomed(sourceTime: number, provenFresh: boolean, now: number): void {
+  recordWelcome(sourceTime: number, provenFresh: boolean, now: number): void {
     // The proof began after the subscription, which followed the opening.
     if (provenFresh) this.provenAt = this.openedAt;
     this.transitDelay = new TransitDelay(sourceTime, now);
   }
 
   /** Anything arrived. */
-  heard(now: number): void {
-    this.heardAt = now;
+  recordReceived(now: number): void {
+    this.lastReceivedAt = now;
   }
 
   /**
    * A configuration is under way. Heartbeats may queue behind it, so that only
    * silence counts until it has arrived.
    */
-  snapshotBegan(): void {
+  recordSnapshotBegin(): void {
     this.receivingSnapshot = true;
   }
 
-  snapshotArrived(now: number): void {
+  recordSnapshotEnd(now: number): void {
     this.receivingSnapshot = false;
     this.quorumAt = now;
   }
 
   /** Returns when a quorum last confirmed that the source lacked nothing. */
-  heartbeat({ sinceQuorumMs, sourceTime }: HeartbeatMessage, now: number): number {
+  recordHeartbeat({ sinceQuorumMs, sourceTime }: HeartbeatMessage, now: number): number {
     const delay = this.transitDelay?.delayOf(sourceTime, now) ?? 0;
     this.quorumAt = Math.max(this.provenAt, now - delay - sinceQuorumMs);
     return this.quorumAt;
   }
 
   /** Compares the daemon's revision with its source's. */
-  compare(heldRevision: number, committedRevision: number, now: number): void {
+  compareRevisions(heldRevision: number, committedRevision: number, now: number): void {
     if (heldRevision <= committedRevision) this.behindSince = undefined;
     else this.behindSince ??= now;
   }
 
   /** Why to leave now, if at all. */
   reasonToLeave(now: number): SessionEnd | undefined {
-    const patience = this.isWelcomed ? SOURCE_SILENCE_MS : WELCOME_TIMEOUT_MS;
-    if (now - this.heardAt > patience) return 'silent';
+    const silenceTimeoutMs = this.isWelcomed ? SOURCE_SILENCE_MS : WELCOME_TIMEOUT_MS;
+    if (now - this.lastReceivedAt > silenceTimeoutMs) return 'silent';
     if (this.receivingSnapshot) return undefined;
     const cutOff = now - this.quorumAt > QUORUM_LEASE_MS;
     if (cutOff && now > this.staleUntil) return 'cut_off';
--- a/src/control-stream/stream-broadcast.ts
+++ b/src/control-stream/stream-broadcast.ts
@@ -6,17 +6,17 @@
 import type { ConfigurationFeed } from './configuration-feed.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
 import { EncodedHistory, type EncodedHistoryOptions } from './encoded-history.js';
-import type { SignBoard } from './sign-board.js';
+import type { ReplicaReportTable } from './replica-report-table.js';
 import { STREAM_CODEC } from './stream-messages.js';
 import { HEARTBEAT_INTERVAL_MS } from './stream-timing.js';
 
 /** Signs that come within this time go into one frame. Milliseconds. */
-const SIGN_BATCH_MS = 20;
+const REPLICA_REPORT_BATCH_MS = 20;
 
 /** How far one subscriber has been served. */
 export interface BroadcastPosition {
   heldRevision: number;
-  signPosition: number;
+  replicaReportPosition: number;
   heartbeatNumber: number;
 }
 
@@ -24,23 +24,23 @@
 export class StreamBroadcast {
   readonly history: EncodedHistory;
   /** Notified whenever there is something new to send. */
-  readonly news: Notifier;
+  readonly updates: Notifier;
   private readonly appliedAge: AppliedAge;
   private heartbeatFrame: Uint8Array = new Uint8Array();
   private heartbeatNumber = 0;
-  private signTimer: Timer | undefined;
+  private batchTimer: Timer | undefined;
 
   constructor(
     private readonly clock: Clock,
     feed: ConfigurationFeed,
     private readonly readStatus: () => ReplicatedLogStatus,
-    readonly signs: SignBoard,
+    readonly replicaReports: ReplicaReportTable,
     faults: ControlStreamFaults,
     options?: EncodedHistoryOptions,
   ) {
-    this.news = new Notifier(clock);
+    this.updates = new Notifier(clock);
     this.appliedAge = new AppliedAge(faults);
-    this.history = new EncodedHistory(feed, () => this.news.notify(), options);
+    this.history = new EncodedHistory(feed, () => this.updates.notify(), options);
   }
 
   /** How long ago this controller's state was known to be the agreed one. Milliseconds. */
@@ -51,7 +51,7 @@
   /** Writes heartbeats until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.beat();
+      this.writeHeartbeat();
       await this.clock.sleep(HEARTBEAT_INTERVAL_MS, signal).catch(() => undefined);
     }
   }
@@ -60,12 +60,12 @@
    * Everything a subscriber has not been sent, in the order in which it must
    * arrive: a heartbeat follows the changes that it tells of. Moves `position` on.
    */
-  take(position: BroadcastPosition, zone: string): Uint8Array[] {
+  takeFrames(position: BroadcastPosition, zone: string): Uint8Array[] {
     const frames = [...this.history.framesAfter(position.heldRevision)];
     position.heldRevision = Math.max(position.heldRevision, this.history.revision);
-    const signFrame = this.signs.frameAfter(position.signPosition, zone);
-    position.signPosition = this.signs.position;
-    if (signFrame !== undefined) frames.push(signFrame);
+    const replicaReportFrame = this.replicaReports.frameAfter(position.replicaReportPosition, zone);
+    position.replicaReportPosition = this.replicaReports.position;
+    if (replicaReportFrame !== undefined) frames.push(replicaReportFrame);
     frames.push(...this.takeHeartbeat(position));
     return frames;
   }
@@ -78,19 +78,19 @@
   }
 
   /** A sign was recorded: subscribers are woken soon, for all that come until then. */
-  noteSign(): void {
-    this.signTimer ??= this.clock.setTimer(SIGN_BATCH_MS, () => {
-      this.signTimer = undefined;
-      this.news.notify();
+  notifyAfterBatch(): void {
+    this.batchTimer ??= this.clock.setTimer(REPLICA_REPORT_BATCH_MS, () => {
+      this.batchTimer = undefined;
+      this.updates.notify();
     });
   }
 
   dispose(): void {
-    this.signTimer?.cancel();
+    this.batchTimer?.cancel();
     this.history.dispose();
   }
 
-  private beat(): void {
+  private writeHeartbeat(): void {
     this.heartbeatFrame = STREAM_CODEC.encode({
       kind: 'heartbeat',
       committedRevision: this.history.revision,
@@ -99,6 +99,6 @@
       sourceTime: this.clock.now(),
     });
     this.heartbeatNumber += 1;
-    this.news.notify();
+    this.updates.notify();
   }
 }
--- a/src/control-stream/stream-messages.ts
+++ b/src/control-stream/stream-messages.ts
@@ -64,7 +64,7 @@
 }
 
 /** A sign about a replica, in either direction. */
-export interface SignMessage {
+export interface ReplicaReportMessage {
   readonly kind: 'sign';
   readonly replicaId: string;
   readonly incarnation: number;
@@ -74,7 +74,7 @@
 }
 
 /** Revision in force at the daemon; sent at each change and at a fixed interval. */
-export interface ReportMessage {
+export interface RevisionReportMessage {
   readonly kind: 'report';
   /** Grows with each report of an incarnation, whichever controller it goes to. */
   readonly sequence: number;
@@ -102,8 +102,8 @@
   | SnapshotChunkMessage
   | DeltaMessage
   | HeartbeatMessage
-  | SignMessage
-  | ReportMessage
+  | ReplicaReportMessage
+  | RevisionReportMessage
   | ResyncMessage
   | GoodbyeMessage;
 
--- a/src/control-stream/subscriber-session.ts
+++ b/src/control-stream/subscriber-session.ts
@@ -7,16 +7,16 @@
 import type { DaemonRecord } from './daemon-record.js';
 import type { ServerMetrics } from './server-metrics.js';
 import type { SharedReadBarrier } from './shared-read-barrier.js';
-import { scopeOf, type SignBoard } from './sign-board.js';
+import { scopeOf, type ReplicaReportTable } from './replica-report-table.js';
 import { SilenceGuard } from './silence-guard.js';
-import { fromSignMessage } from './sign-message.js';
+import { fromReplicaReportMessage } from './replica-report-message.js';
 import type { BroadcastPosition, StreamBroadcast } from './stream-broadcast.js';
 import {
   NO_REVISION,
   STREAM_CODEC,
   type GoodbyeReason,
-  type ReportMessage,
-  type SignMessage,
+  type RevisionReportMessage,
+  type ReplicaReportMessage,
   type StreamMessage,
   type SubscribeMessage,
 } from './stream-messages.js';
@@ -32,22 +32,22 @@
   readonly memberId: string;
   readonly broadcast: StreamBroadcast;
   readonly barrier: SharedReadBarrier;
-  readonly signs: SignBoard;
+  readonly replicaReports: ReplicaReportTable;
   readonly daemons: DaemonDirectory;
   readonly metrics: ServerMetrics;
   /** Called when there is something to pass on to other controllers. */
-  readonly onNews: () => void;
+  readonly onUpdate: () => void;
 }
 
 /** Runs once. */
 export class SubscriberSession {
   private readonly position: BroadcastPosition = {
     heldRevision: NO_REVISION,
-    signPosition: 0,
+    replicaReportPosition: 0,
     heartbeatNumber: 0,
   };
   private record: DaemonRecord | undefined;
-  private snapshotWanted = false;
+  private snapshotRequested = false;
   private ended = false;
   private readonly guard: SilenceGuard;
 
@@ -74,11 +74,11 @@
       reason = malformed ? 'malformed' : 'lost';
     }
     this.end();
-    this.context.metrics.ended.inc({ reason });
+    this.context.metrics.streamsEnded.inc({ reason });
   }
 
   /** Tells the daemon to move elsewhere; it closes the connection. */
-  async dismiss(reason: GoodbyeReason): Promise<void> {
+  async sendGoodbye(reason: GoodbyeReason): Promise<void> {
     try {
       await this.connection.send(STREAM_CODEC.encode({ kind: 'goodbye', reason }));
     } catch {
@@ -89,7 +89,7 @@
   end(): void {
     this.ended = true;
     this.connection.close();
-    this.context.broadcast.news.notify();
+    this.context.broadcast.updates.notify();
   }
 
   private async receiveSubscription(): Promise<SubscribeMessage | undefined> {
@@ -113,36 +113,36 @@
     });
     await this.connection.send(welcome);
     if (knownIncarnation > incarnation) return;
-    if (heldRevision === NO_REVISION && !provenFresh) return this.dismiss('not_proven_fresh');
+    if (heldRevision === NO_REVISION && !provenFresh) return this.sendGoodbye('not_proven_fresh');
     this.position.heldRevision = heldRevision;
     if (!subscription.probe) this.register(subscription);
     // Whichever ends first ends the stream; closing the connection ends the other.
-    await Promise.race([this.sendNews(subscription, broadcast), this.receiveAll(zone)]);
+    await Promise.race([this.sendUpdates(subscription, broadcast), this.receiveAll(zone)]);
   }
 
-  private async sendNews(
+  private async sendUpdates(
     subscription: SubscribeMessage,
     broadcast: StreamBroadcast,
   ): Promise<void> {
     while (!this.ended) {
-      const news = broadcast.news.wait(Infinity);
-      for (const frame of this.takeFrames(subscription, broadcast)) {
+      const nextUpdate = broadcast.updates.wait(Infinity);
+      for (const frame of this.nextFrames(subscription, broadcast)) {
         await this.connection.send(frame);
         this.context.metrics.sentBytes.inc(frame.length);
       }
-      if (!this.snapshotWanted) await news;
+      if (!this.snapshotRequested) await nextUpdate;
     }
   }
 
-  private takeFrames(
+  private nextFrames(
     { probe, zone }: SubscribeMessage,
     broadcast: StreamBroadcast,
   ): readonly Uint8Array[] {
     if (probe) return broadcast.takeHeartbeat(this.position);
-    if (!this.snapshotWanted) return broadcast.take(this.position, zone);
-    this.snapshotWanted = false;
+    if (!this.snapshotRequested) return broadcast.takeFrames(this.position, zone);
+    this.snapshotRequested = false;
     this.position.heldRevision = broadcast.history.revision;
-    return [...broadcast.history.snapshotFrames(), ...broadcast.take(this.position, zone)];
+    return [...broadcast.history.snapshotFrames(), ...broadcast.takeFrames(this.position, zone)];
   }
 
   private async receiveAll(zone: string): Promise<void> {
@@ -150,22 +150,22 @@
       const frame = await this.receiveFrame();
       if (frame === undefined) return;
       for (const message of STREAM_CODEC.decodeBatch(frame, this.daemonName)) {
-        if (message.kind === 'goodbye') return this.takeGoodbye(message.reason as GoodbyeReason);
-        this.take(message, zone);
+        if (message.kind === 'goodbye') return this.handleGoodbye(message.reason as GoodbyeReason);
+        this.handle(message, zone);
       }
     }
   }
 
-  private take(message: StreamMessage, zone: string): void {
+  private handle(message: StreamMessage, zone: string): void {
     switch (message.kind) {
       case 'report':
-        return this.takeReport(message);
+        return this.handleRevisionReport(message);
       case 'sign':
-        return this.takeSign(message, zone);
+        return this.handleReplicaReport(message, zone);
       case 'resync':
         this.context.metrics.resyncs.inc({ reason: message.reason });
-        this.snapshotWanted = true;
-        this.context.broadcast.news.notify();
+        this.snapshotRequested = true;
+        this.context.broadcast.updates.notify();
         return;
       default:
         throw this.malformed(`a ${message.kind} message from a daemon`);
@@ -185,7 +185,7 @@
     });
   }
 
-  private takeReport({ sequence, revision }: ReportMessage): void {
+  private handleRevisionReport({ sequence, revision }: RevisionReportMessage): void {
     if (this.record === undefined) return;
     const { daemons, metrics } = this.context;
     const isSuperseded = daemons.incarnationOf(this.daemonName) > this.record.incarnation;
@@ -193,28 +193,28 @@
     this.update({ ...this.record, sequence, revision });
   }
 
-  private takeGoodbye(reason: GoodbyeReason): void {
+  private handleGoodbye(reason: GoodbyeReason): void {
     if (reason !== 'stopping' || this.record === undefined) return;
     this.update({ ...this.record, sequence: this.record.sequence + 1, left: true });
   }
 
-  private takeSign(message: SignMessage, zone: string): void {
-    const sign = fromSignMessage(message);
-    if (sign === undefined) throw this.malformed('not a sign of a replica');
-    const scoped = { scope: scopeOf(sign, zone), sign };
-    if (!this.context.signs.record(scoped)) return;
-    this.context.broadcast.noteSign();
-    this.context.onNews();
+  private handleReplicaReport(message: ReplicaReportMessage, zone: string): void {
+    const report = fromReplicaReportMessage(message);
+    if (report === undefined) throw this.malformed('not a sign of a replica');
+    const scoped = { scope: scopeOf(report, zone), report };
+    if (!this.context.replicaReports.record(scoped)) return;
+    this.context.broadcast.notifyAfterBatch();
+    this.context.onUpdate();
   }
 
   private update(record: DaemonRecord): void {
     this.record = record;
-    if (this.context.daemons.record(record)) this.context.onNews();
+    if (this.context.daemons.record(record)) this.context.onUpdate();
   }
 
   private async receiveFrame(): Promise<Uint8Array | undefined> {
     const frame = await this.connection.receive();
-    this.guard.heard();
+    this.guard.recordReceived();
     if (frame !== undefined && frame.length > MAXIMUM_SUBSCRIBER_FRAME_BYTES) {
       throw this.malformed(`a frame of ${frame.length} bytes`);
     }
--- a/src/control-stream/transit-delay.ts
+++ b/src/control-stream/transit-delay.ts
@@ -6,7 +6,7 @@
  */
 
 /** Share by which two clocks may run apart. */
-const CLOCK_DRIFT = 0.001;
+const CLOCK_DRIFT_FRACTION = 0.001;
 
 /** One connection's estimate. */
 export class TransitDelay {
@@ -24,7 +24,7 @@
     const elapsed = receivedAt - this.previousReceivedAt;
     this.previousReceivedAt = receivedAt;
     const difference = receivedAt - sourceTime;
-    const allowance = this.smallestDifference + elapsed * CLOCK_DRIFT;
+    const allowance = this.smallestDifference + elapsed * CLOCK_DRIFT_FRACTION;
     this.smallestDifference = Math.min(allowance, difference);
     return difference - this.smallestDifference;
   }
--- a/src/control-stream/versioned-table.ts
+++ b/src/control-stream/versioned-table.ts
@@ -12,7 +12,7 @@
 }
 
 /** Superseded changes kept before they are dropped, besides one for each entry. */
-const SPARE_CHANGES = 1_024;
+const MAXIMUM_SUPERSEDED_CHANGES = 1_024;
 
 /** Latest value per key. */
 export class VersionedTable<V> {
@@ -47,9 +47,9 @@
     this.entries.delete(key);
     this.entries.set(key, entry);
     this.changes.push(entry);
-    this.dropOldest();
-    const isSpare = this.changes.length > 2 * this.entries.size + SPARE_CHANGES;
-    if (isSpare) this.changes = [...this.entries.values()];
+    this.evictOldest();
+    const mustCompact = this.changes.length > 2 * this.entries.size + MAXIMUM_SUPERSEDED_CHANGES;
+    if (mustCompact) this.changes = [...this.entries.values()];
   }
 
   remove(key: string): void {
@@ -83,7 +83,7 @@
     return low;
   }
 
-  private dropOldest(): void {
+  private evictOldest(): void {
     if (this.entries.size <= this.maximumEntries) return;
     const [oldest] = this.entries.keys();
     if (oldest !== undefined) this.entries.delete(oldest);
--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -8,7 +8,7 @@
 import { ControlStreamServer } from '../control-stream/control-stream-server.js';
 import { ControllerExchange } from '../control-stream/controller-exchange.js';
 import { DaemonDirectory } from '../control-stream/daemon-directory.js';
-import { SignBoard } from '../control-stream/sign-board.js';
+import { ReplicaReportTable } from '../control-stream/replica-report-table.js';
 import { CONNECT_TIMEOUT_MS } from '../control-stream/stream-timing.js';
 import { EvacuationOrders } from '../evacuations/evacuation-orders.js';
 import { EvacuationRegister } from '../evacuations/evacuation-register.js';
@@ -46,7 +46,7 @@
   readonly log: RaftNode;
   readonly machine: ConfigurationStateMachine;
   readonly daemons: DaemonDirectory;
-  readonly signs: SignBoard;
+  readonly signs: ReplicaReportTable;
   readonly server: ControlStreamServer;
   readonly exchange: ControllerExchange;
   readonly registration: RegistrationPart;
@@ -103,16 +103,33 @@
 ): ControlStreamParts {
   const { clock } = environment;
   const daemons = new DaemonDirectory(clock, faults);
-  const signs = new SignBoard(faults);
+  const signs = new ReplicaReportTable(faults);
   const onNews = (): void => exchange.notify();
   const server = new ControlStreamServer(
-    { clock, memberId: identity.name, feed: machine, log, daemons, signs, onNews, faults },
+    {
+      clock,
+      memberId: identity.name,
+      feed: machine,
+      log,
+      daemons,
+      replicaReports: signs,
+      onUpdate: onNews,
+      faults,
+    },
     telemetry,
   );
   const readMembers = (): readonly ReplicatedLogMember[] => log.status().members;
   const onSigns = (): void => server.notify();
   const exchange = new ControllerExchange(
-    { environment, identity, readMembers, daemons, signs, onSigns, faults },
+    {
+      environment,
+      identity,
+      readMembers,
+      daemons,
+      replicaReports: signs,
+      onReplicaReports: onSigns,
+      faults,
+    },
     telemetry,
   );
   return { daemons, signs, server, exchange };
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -5,7 +5,11 @@
  */
 import { Counter } from 'prom-client';
 import * as z from 'zod';
-import { EVERYWHERE, PLATFORM_OBSERVER, type SignBoard } from '../control-stream/sign-board.js';
+import {
+  ALL_ZONES,
+  PLATFORM_OBSERVER,
+  type ReplicaReportTable,
+} from '../control-stream/replica-report-table.js';
 import { nameSchema } from '../model/service-definition.js';
 import {
   EntrySource,
@@ -51,7 +55,7 @@
   constructor(
     private readonly environment: Environment,
     address: Address,
-    private readonly signs: SignBoard,
+    private readonly signs: ReplicaReportTable,
     private readonly onSigns: () => void,
     private readonly unusable: UnusableEntries,
     telemetry: Telemetry,
@@ -91,7 +95,7 @@
       const machine = this.readMachine(item);
       if (machine === undefined) continue;
       const sign = { ...machine, observedBy: PLATFORM_OBSERVER };
-      news = this.signs.record({ scope: EVERYWHERE, sign }) || news;
+      news = this.signs.record({ scope: ALL_ZONES, report: sign }) || news;
     }
     if (news) this.onSigns();
     return 'read';
--- a/src/directory/directory-link.ts
+++ b/src/directory/directory-link.ts
@@ -187,7 +187,7 @@
     for (;;) {
       const frame = await connection.receive();
       if (frame === undefined) return;
-      guard.heard();
+      guard.recordReceived();
       const { position, hasReplicas } = this.takeFrame(frame);
       if (position === undefined) continue;
       const documentVersion = this.parts.documentVersion();
--- a/src/directory/directory-server.ts
+++ b/src/directory/directory-server.ts
@@ -286,7 +286,7 @@
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) break;
-        guard.heard();
+        guard.recordReceived();
         const message = DIRECTORY_CODEC.decode(frame, session.name);
         this.takeConfirmation(session, message);
         if (message.kind === 'confirmVersion') this.confirmVersion(connection, message.number);
--- a/src/membership/replica-registry.ts
+++ b/src/membership/replica-registry.ts
@@ -5,7 +5,7 @@
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
 import type { BackendReport } from '../model/backend-protocol.js';
-import { supersedes, type ReplicaSign } from '../model/replica-sign.js';
+import { supersedes, type ReplicaReport } from '../model/replica-report.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import type { Logger } from '../observability/logger.js';
 import type { RouterFaults } from '../router/router-faults.js';
@@ -45,17 +45,17 @@
   /** Grows whenever what may be sent where has changed; caches of plans compare it. */
   generation = 0;
   /** Signs first seen here, to be told to others. */
-  readonly ownSigns: Stream<ReplicaSign>;
-  private readonly emitSign: (sign: ReplicaSign) => void;
+  readonly ownSigns: Stream<ReplicaReport>;
+  private readonly emitSign: (sign: ReplicaReport) => void;
   private readonly entries = new Map<string, Entry>();
   /** Newest sign of each replica that is not in the configuration, yet or any more. */
-  private readonly otherSigns = new Map<string, ReplicaSign>();
+  private readonly otherSigns = new Map<string, ReplicaReport>();
 
   constructor(
     private readonly environment: Environment,
     private readonly options: RegistryOptions,
   ) {
-    [this.emitSign, this.ownSigns] = createAdapter<ReplicaSign>();
+    [this.emitSign, this.ownSigns] = createAdapter<ReplicaReport>();
   }
 
   get(replicaId: string): ReplicaRecord | undefined {
@@ -82,7 +82,7 @@
   }
 
   /** Joins a sign from another daemon or the platform list. */
-  applySign(sign: ReplicaSign): boolean {
+  applySign(sign: ReplicaReport): boolean {
     const record = this.get(sign.replicaId);
     if (record === undefined) this.keepOtherSign(sign);
     if (record === undefined || !record.applySign(sign)) return false;
@@ -129,7 +129,7 @@
     await Promise.all(entries.map(({ record }) => record.channel.close()));
   }
 
-  private keepOtherSign(sign: ReplicaSign): void {
+  private keepOtherSign(sign: ReplicaReport): void {
     const known = this.otherSigns.get(sign.replicaId);
     if (known !== undefined && !supersedes(sign, known)) return;
     this.otherSigns.delete(sign.replicaId);
@@ -143,7 +143,12 @@
     const { replicaId } = record.replica;
     const known = record.knownSign;
     const state = draining ? 'draining' : 'live';
-    const sign: ReplicaSign = { replicaId, incarnation, state, observedBy: this.options.observer };
+    const sign: ReplicaReport = {
+      replicaId,
+      incarnation,
+      state,
+      observedBy: this.options.observer,
+    };
     if (!this.applySign(sign)) return;
     if (draining || known !== undefined) this.emitSign(sign);
   }
--- a/src/tenants/quota-server.ts
+++ b/src/tenants/quota-server.ts
@@ -96,7 +96,7 @@
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) return;
-        guard.heard();
+        guard.recordReceived();
         const answer = QUOTA_CODEC.encodeBatch(this.answer(frame, peer.name));
         this.metrics.frames.inc();
         this.metrics.bytes.inc(frame.length + answer.length);
--- a/test/control-stream/client-log.test.ts
+++ b/test/control-stream/client-log.test.ts
@@ -3,7 +3,7 @@
 import { Simulation } from '../../lab/simulation/simulation.js';
 import { ControlStreamClient } from '../../src/control-stream/control-stream-client.js';
 import type { Logger } from '../../src/observability/logger.js';
-import { CLUSTER, introduce, TestController } from './controller-fixture.js';
+import { CLUSTER, setMembers, TestController } from './controller-fixture.js';
 
 const SEED = 4;
 
@@ -18,7 +18,7 @@
   const simulation = new Simulation(SEED);
   const host = simulation.createMachine('controller-1', 'nayoro');
   const controller = await simulation.settle(TestController.start(host));
-  introduce([controller]);
+  setMembers([controller]);
   const startWith = (name: string, key: string): object[] => {
     const lines: object[] = [];
     ControlStreamClient.start(
@@ -28,11 +28,11 @@
     );
     return lines;
   };
-  const stranger = startWith('router-1', 'another-long-secret');
+  const rejected = startWith('router-1', 'another-long-secret');
   const follower = startWith('router-2', CLUSTER.key);
   await simulation.runFor(60_000);
-  expect(stranger).toHaveLength(1);
-  expect(JSON.stringify(stranger)).toMatch(/cannot follow controller.*handshake_failed.*wrong_key/);
+  expect(rejected).toHaveLength(1);
+  expect(JSON.stringify(rejected)).toMatch(/cannot follow controller.*handshake_failed.*wrong_key/);
   expect(follower).toEqual([]);
   host.crash();
   await simulation.runFor(60_000);
--- a/test/control-stream/control-stream.test.ts
+++ b/test/control-stream/control-stream.test.ts
@@ -2,7 +2,7 @@
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
 import { Simulation } from '../../lab/simulation/simulation.js';
 import type { EncodedHistoryOptions } from '../../src/control-stream/encoded-history.js';
-import { introduce, TestController } from './controller-fixture.js';
+import { setMembers, TestController } from './controller-fixture.js';
 import { TestDaemon } from './daemon-fixture.js';
 
 const SEED = 4;
@@ -14,7 +14,7 @@
  * Stated in docs/design/control-stream.md: longest time until a daemon follows
  * another controller after its own fell silent or was cut off.
  */
-const LEAVES_WITHIN_MS = 7_000;
+const FAILOVER_LIMIT_MS = 7_000;
 
 let simulation: Simulation;
 let own: TestController;
@@ -25,7 +25,7 @@
   simulation = new Simulation(SEED);
   own = await startController('controller-1', 'asahikawa-a');
   other = await startController('controller-2', 'nayoro');
-  introduce([own, other]);
+  setMembers([own, other]);
 });
 
 function startController(
@@ -97,7 +97,7 @@
   it('leaves a source that falls silent, and returns to its zone once that is healthy', async () => {
     const daemon = await settledDaemon(1);
     own.host.freeze(20_000);
-    await simulation.runFor(LEAVES_WITHIN_MS);
+    await simulation.runFor(FAILOVER_LIMIT_MS);
     expect(daemon.client.source).toBe('controller-2');
     expect(await daemon.counter(SESSIONS_ENDED, 'silent')).toBe(1);
     await simulation.runFor(20_000);
@@ -110,7 +110,7 @@
   it('leaves a source that is cut off from the quorum', async () => {
     const daemon = await settledDaemon(1);
     own.log.loseQuorum();
-    await simulation.runFor(LEAVES_WITHIN_MS);
+    await simulation.runFor(FAILOVER_LIMIT_MS);
     expect(daemon.client.source).toBe('controller-2');
     expect(daemon.fresh).toBe(true);
     other.acceptUpTo(2);
@@ -126,7 +126,7 @@
     await simulation.runFor(SETTLE_MS);
     expect(daemon.client.source).toBe('controller-2');
     own = await simulation.settle(TestController.start(restartedHost(own), own.machine));
-    await simulation.runFor(LEAVES_WITHIN_MS);
+    await simulation.runFor(FAILOVER_LIMIT_MS);
     expect(daemon.client.source).toBe('controller-1');
     expect(daemon.fresh).toBe(true);
     expect(await daemon.counter(SESSIONS_ENDED, 'behind')).toBe(1);
@@ -179,7 +179,7 @@
     expect(restarted.fresh).toBe(false);
     other.acceptUpTo(5);
     other.log.regainQuorum();
-    await simulation.runFor(LEAVES_WITHIN_MS);
+    await simulation.runFor(FAILOVER_LIMIT_MS);
     expect(restarted.revisions).toEqual([5]);
   });
 
@@ -187,12 +187,12 @@
     const daemon = await settledDaemon(3);
     own.log.loseQuorum();
     other.log.loseQuorum();
-    await simulation.runFor(LEAVES_WITHIN_MS);
+    await simulation.runFor(FAILOVER_LIMIT_MS);
     expect(daemon.revision).toBe(3);
     expect(daemon.fresh).toBe(false);
     own.log.regainQuorum();
     other.log.regainQuorum();
-    await simulation.runFor(LEAVES_WITHIN_MS);
+    await simulation.runFor(FAILOVER_LIMIT_MS);
     expect(daemon.fresh).toBe(true);
   });
 
@@ -204,7 +204,7 @@
     await simulation.runFor(SETTLE_MS);
     expect(daemon.client.current()?.overrides['defaults']?.queueLimit).toBe(1_000);
     own.host.crash();
-    await simulation.runFor(LEAVES_WITHIN_MS);
+    await simulation.runFor(FAILOVER_LIMIT_MS);
     expect(daemon.client.current()?.overrides['defaults']?.queueLimit).toBe(2_000);
     expect(await daemon.counter(RESYNCS, 'divergence')).toBe(1);
     expect(await other.counter('driftway_control_stream_subscriber_resyncs_total')).toBe(1);
--- a/test/control-stream/controller-fixture.ts
+++ b/test/control-stream/controller-fixture.ts
@@ -11,7 +11,7 @@
 import { ControllerExchange } from '../../src/control-stream/controller-exchange.js';
 import { DaemonDirectory } from '../../src/control-stream/daemon-directory.js';
 import type { EncodedHistoryOptions } from '../../src/control-stream/encoded-history.js';
-import { SignBoard } from '../../src/control-stream/sign-board.js';
+import { ReplicaReportTable } from '../../src/control-stream/replica-report-table.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import { AuthenticatedListener } from '../../src/protocol/authenticated-listener.js';
 import { formatAddress } from '../../src/seams/address.js';
@@ -85,7 +85,7 @@
   readonly machine: ConfigurationStateMachine;
   readonly log: TestLog;
   readonly daemons: DaemonDirectory;
-  readonly signs = new SignBoard();
+  readonly replicaReports = new ReplicaReportTable();
   readonly registry = new Registry();
   server!: ControlStreamServer;
   exchange!: ControllerExchange;
@@ -141,7 +141,7 @@
     const { environment, name } = this.host;
     const telemetry = { logger: SILENT_LOGGER, registry: this.registry };
     const identity = { clusterId: CLUSTER.id, clusterKey: CLUSTER.key, name };
-    const { daemons, signs, log } = this;
+    const { daemons, replicaReports, log } = this;
     this.server = new ControlStreamServer(
       {
         clock: environment.clock,
@@ -149,8 +149,8 @@
         feed: this.machine,
         log,
         daemons,
-        signs,
-        onNews: () => this.exchange.notify(),
+        replicaReports,
+        onUpdate: () => this.exchange.notify(),
         ...(this.historyOptions === undefined ? {} : { historyOptions: this.historyOptions }),
       },
       telemetry,
@@ -161,8 +161,8 @@
         identity,
         readMembers: () => this.log.members,
         daemons,
-        signs,
-        onSigns: () => this.server.notify(),
+        replicaReports,
+        onReplicaReports: () => this.server.notify(),
       },
       telemetry,
     );
@@ -181,7 +181,7 @@
 }
 
 /** Makes the controllers known to each other. */
-export function introduce(controllers: readonly TestController[]): void {
+export function setMembers(controllers: readonly TestController[]): void {
   const members = controllers.map(({ endpoint }) => ({
     memberId: endpoint.memberId,
     address: formatAddress(endpoint.address),
--- a/test/control-stream/force-tracker.test.ts
+++ b/test/control-stream/force-tracker.test.ts
@@ -1,6 +1,6 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import { Simulation } from '../../lab/simulation/simulation.js';
-import { introduce, TestController } from './controller-fixture.js';
+import { setMembers, TestController } from './controller-fixture.js';
 import { TestDaemon } from './daemon-fixture.js';
 
 const SEED = 4;
@@ -17,7 +17,7 @@
     const host = simulation.createMachine(`controller-${index + 1}`, zone);
     controllers.push(await simulation.settle(TestController.start(host)));
   }
-  introduce(controllers);
+  setMembers(controllers);
 });
 
 function startDaemon(name: string, zone: string): TestDaemon {
@@ -138,7 +138,7 @@
     if (second !== undefined) {
       controllers[1] = await simulation.settle(TestController.start(second.host));
     }
-    introduce(controllers);
+    setMembers(controllers);
     await simulation.runFor(10_000);
     expect(reports()[1]).toEqual({ 'router-1': 0 });
   });
--- a/test/control-stream/malformed-frames.test.ts
+++ b/test/control-stream/malformed-frames.test.ts
@@ -6,12 +6,17 @@
 import type { ConnectionRole } from '../../src/protocol/connection-role.js';
 import { dial } from '../../src/protocol/dial.js';
 import { MAXIMUM_FRAME_BYTES, type MessageConnection } from '../../src/seams/message-connection.js';
-import { CLUSTER, introduce, TestController } from './controller-fixture.js';
+import { CLUSTER, setMembers, TestController } from './controller-fixture.js';
 
 const SEED = 4;
 const SUBSCRIBER = 'driftway_control_stream_subscriber_malformed_frames_total';
 const EXCHANGE = 'driftway_exchange_malformed_frames_total';
-const SIGN = { kind: 'sign', replicaId: 'replica-1', incarnation: 1, state: 'live' } as const;
+const REPLICA_REPORT = {
+  kind: 'sign',
+  replicaId: 'replica-1',
+  incarnation: 1,
+  state: 'live',
+} as const;
 const SUBSCRIPTION: StreamMessage = {
   kind: 'subscribe',
   incarnation: 1,
@@ -28,7 +33,7 @@
   simulation = new Simulation(SEED);
   const host = simulation.createMachine('controller-1', 'nayoro');
   controller = await simulation.settle(TestController.start(host));
-  introduce([controller]);
+  setMembers([controller]);
 });
 
 function connect(role: ConnectionRole): Promise<MessageConnection> {
@@ -53,17 +58,20 @@
 }
 
 const WELL_FORMED = stream({ kind: 'report', sequence: 1, revision: 0 });
-const BEYOND_ANY_FRAME = Buffer.alloc(MAXIMUM_FRAME_BYTES + 1);
+const OVERSIZED_FRAME = Buffer.alloc(MAXIMUM_FRAME_BYTES + 1);
 
 describe('a controller', () => {
   const fromDaemons: [string, Uint8Array][] = [
     ['an unknown message', Uint8Array.of(255)],
     ['a message cut short', WELL_FORMED.subarray(0, 2)],
     ['a message that only controllers send', stream({ kind: 'snapshotChunk', bytes: WELL_FORMED })],
-    ['a sign in an unknown state', stream({ ...SIGN, state: 'asleep', observedBy: 'router-1' })],
-    ['a sign by no valid name', stream({ ...SIGN, observedBy: '' })],
+    [
+      'a sign in an unknown state',
+      stream({ ...REPLICA_REPORT, state: 'asleep', observedBy: 'router-1' }),
+    ],
+    ['a sign by no valid name', stream({ ...REPLICA_REPORT, observedBy: '' })],
     ['a frame longer than daemons send', Buffer.alloc(MAXIMUM_SUBSCRIBER_FRAME_BYTES + 1, 17)],
-    ['a frame longer than any', BEYOND_ANY_FRAME],
+    ['a frame longer than any', OVERSIZED_FRAME],
   ];
   it.each(fromDaemons)('closes and counts a daemon that sends %s', async (_name, frame) => {
     expect(await isClosedAfter('subscriber', [stream(SUBSCRIPTION), frame])).toBe(true);
@@ -79,9 +87,15 @@
     ['an unknown message', Uint8Array.of(255)],
     [
       'a sign in an unknown state',
-      EXCHANGE_CODEC.encode({ ...SIGN, kind: 'scopedSign', scope: '', state: '', observedBy: 'x' }),
+      EXCHANGE_CODEC.encode({
+        ...REPLICA_REPORT,
+        kind: 'scopedSign',
+        scope: '',
+        state: '',
+        observedBy: 'x',
+      }),
     ],
-    ['a frame longer than any', BEYOND_ANY_FRAME],
+    ['a frame longer than any', OVERSIZED_FRAME],
   ];
   it.each(fromControllers)('closes and counts another that sends %s', async (_name, frame) => {
     expect(await isClosedAfter('exchange', [frame])).toBe(true);
--- a/test/control-stream/replica-signs.test.ts
+++ b/test/control-stream/replica-reports.test.ts
@@ -1,7 +1,7 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import { Simulation } from '../../lab/simulation/simulation.js';
-import type { ReplicaSign, ReplicaState } from '../../src/model/replica-sign.js';
-import { introduce, TestController } from './controller-fixture.js';
+import type { ReplicaReport, ReplicaState } from '../../src/model/replica-report.js';
+import { setMembers, TestController } from './controller-fixture.js';
 import { TestDaemon } from './daemon-fixture.js';
 
 const SEED = 4;
@@ -13,11 +13,11 @@
 let other: TestController;
 /** Of one zone, at two controllers. */
 let observer: TestDaemon;
-let neighbour: TestDaemon;
+let sameZoneDaemon: TestDaemon;
 /** Of another zone. */
-let distant: TestDaemon;
+let otherZoneDaemon: TestDaemon;
 
-function sign(incarnation: number, state: ReplicaState): ReplicaSign {
+function replicaReport(incarnation: number, state: ReplicaState): ReplicaReport {
   return { replicaId: 'replica-1', incarnation, state, observedBy: 'router-1' };
 }
 
@@ -25,10 +25,10 @@
   simulation = new Simulation(SEED);
   own = await start('controller-1', 'asahikawa-a');
   other = await start('controller-2', 'nayoro');
-  introduce([own, other]);
+  setMembers([own, other]);
   observer = new TestDaemon(simulation.createMachine('router-1', 'asahikawa-a'), [own, other]);
-  neighbour = new TestDaemon(simulation.createMachine('router-2', 'asahikawa-a'), [other]);
-  distant = new TestDaemon(simulation.createMachine('router-3', 'nayoro'), [own, other]);
+  sameZoneDaemon = new TestDaemon(simulation.createMachine('router-2', 'asahikawa-a'), [other]);
+  otherZoneDaemon = new TestDaemon(simulation.createMachine('router-3', 'nayoro'), [own, other]);
   await simulation.runFor(3_000);
 });
 
@@ -38,33 +38,36 @@
 
 describe('signs of replicas', () => {
   it('reach daemons at other controllers; a back end says itself that it drains', async () => {
-    observer.client.reportReplicaSign(sign(1, 'draining'));
+    observer.client.reportReplicaState(replicaReport(1, 'draining'));
     await simulation.runFor(SETTLE_MS);
-    expect(neighbour.signs).toEqual([sign(1, 'draining')]);
-    expect(distant.signs).toEqual([sign(1, 'draining')]);
+    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
+    expect(otherZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
   });
 
   it('that a replica is gone stay in the zone that finds it so', async () => {
-    observer.client.reportReplicaSign(sign(1, 'gone'));
+    observer.client.reportReplicaState(replicaReport(1, 'gone'));
     await simulation.runFor(SETTLE_MS);
-    expect(neighbour.signs).toEqual([sign(1, 'gone')]);
-    expect(distant.signs).toEqual([]);
+    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'gone')]);
+    expect(otherZoneDaemon.replicaReports).toEqual([]);
   });
 
   it('never override newer ones, whoever gives them and after any restart', async () => {
-    observer.client.reportReplicaSign(sign(2, 'draining'));
+    observer.client.reportReplicaState(replicaReport(2, 'draining'));
     await simulation.runFor(SETTLE_MS);
-    neighbour.client.reportReplicaSign(sign(2, 'live'));
-    distant.client.reportReplicaSign(sign(1, 'live'));
+    sameZoneDaemon.client.reportReplicaState(replicaReport(2, 'live'));
+    otherZoneDaemon.client.reportReplicaState(replicaReport(1, 'live'));
     await simulation.runFor(SETTLE_MS);
-    neighbour.host.restart({ keepDisk: false });
-    const restarted = new TestDaemon(neighbour.host, [other]);
+    sameZoneDaemon.host.restart({ keepDisk: false });
+    const restarted = new TestDaemon(sameZoneDaemon.host, [other]);
     await simulation.runFor(SETTLE_MS);
-    expect(restarted.signs).toEqual([sign(2, 'draining')]);
-    expect(neighbour.signs).toEqual([sign(2, 'draining')]);
-    observer.client.reportReplicaSign(sign(3, 'live'));
+    expect(restarted.replicaReports).toEqual([replicaReport(2, 'draining')]);
+    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(2, 'draining')]);
+    observer.client.reportReplicaState(replicaReport(3, 'live'));
     await simulation.runFor(SETTLE_MS);
-    expect(restarted.signs).toEqual([sign(2, 'draining'), sign(3, 'live')]);
+    expect(restarted.replicaReports).toEqual([
+      replicaReport(2, 'draining'),
+      replicaReport(3, 'live'),
+    ]);
   });
 
   it('reach a controller again within seconds after it was out of reach for long', async () => {
@@ -73,20 +76,20 @@
     simulation.cut({ from: machines[1], to: machines[0] });
     await simulation.runFor(600_000);
     simulation.healAll();
-    observer.client.reportReplicaSign(sign(1, 'draining'));
+    observer.client.reportReplicaState(replicaReport(1, 'draining'));
     await simulation.runFor(7_000);
-    expect(neighbour.signs).toEqual([sign(1, 'draining')]);
+    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
   });
 
   it('pass through a third controller while two are cut off from each other', async () => {
     const third = await start('controller-3', 'wakkanai');
-    introduce([own, other, third]);
+    setMembers([own, other, third]);
     await simulation.runFor(SETTLE_MS * 3);
     const machines = [{ machine: 'controller-1' }, { machine: 'controller-2' }] as const;
     simulation.cut({ from: machines[0], to: machines[1] });
     simulation.cut({ from: machines[1], to: machines[0] });
-    observer.client.reportReplicaSign(sign(1, 'draining'));
+    observer.client.reportReplicaState(replicaReport(1, 'draining'));
     await simulation.runFor(SETTLE_MS);
-    expect(neighbour.signs).toEqual([sign(1, 'draining')]);
+    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
   });
 });
--- a/test/control-stream/source-session.test.ts
+++ b/test/control-stream/source-session.test.ts
@@ -69,7 +69,7 @@
 });
 
 /** Welcomes the daemon and brings it to revision 1. */
-async function begin(): Promise<void> {
+async function startAtRevisionOne(): Promise<void> {
   source.welcome();
   apply(1);
   sendFrames(history.snapshotFrames());
@@ -79,7 +79,7 @@
 
 describe('a daemon', () => {
   it('asks for the whole configuration when a change is missing', async () => {
-    await begin();
+    await startAtRevisionOne();
     apply(2);
     apply(3);
     sendFrames(history.framesAfter(2));
@@ -93,7 +93,7 @@
   });
 
   it('does not put in force a change that gives another content than the source has', async () => {
-    await begin();
+    await startAtRevisionOne();
     apply(2);
     const [frame] = history.framesAfter(1);
     const [delta] = STREAM_CODEC.decodeBatch(frame ?? expect.fail('no frame'), 'test');
@@ -112,7 +112,7 @@
   });
 
   it('takes a heartbeat that was held back for as old as it is', async () => {
-    await begin();
+    await startAtRevisionOne();
     sendHeartbeat();
     await simulation.runFor(2_000);
     expect(client.freshness().fresh).toBe(true);
@@ -125,7 +125,7 @@
   });
 
   it('does not leave a source proven fresh for a heartbeat written before the proof', async () => {
-    await begin();
+    await startAtRevisionOne();
     sendHeartbeat({ sinceQuorumMs: Infinity });
     await simulation.runFor(QUORUM_LEASE_MS - 1_000);
     expect(await counter(ENDED)).toBe(0);
@@ -158,17 +158,17 @@
     expect(await counter(ENDED, 'silent')).toBe(1);
   });
 
-  const garbage: [string, () => void][] = [
+  const malformedMessages: [string, () => void][] = [
     ['an unknown message', () => source.sendBytes(Uint8Array.of(255))],
     ['a chunk that was not announced', () => source.send(CHUNK)],
     ['a configuration that is too long', () => source.send({ ...BEGIN, totalBytes: 2 ** 40 })],
     ['a configuration that is not JSON', () => source.send(BEGIN, CHUNK)],
     ['a message that only daemons send', () => source.send({ kind: 'resync', reason: 'gap' })],
     ['a change that is not JSON', () => source.send({ ...DELTA, change: Buffer.from('{') })],
-    ['a sign in an unknown state', () => source.send({ ...SIGN, state: 'constructor' })],
+    ['a sign in an unknown state', () => source.send({ ...REPLICA_REPORT, state: 'constructor' })],
   ];
-  it.each(garbage)('closes the connection on %s, and counts it', async (_name, send) => {
-    await begin();
+  it.each(malformedMessages)('closes the connection on %s, and counts it', async (_name, send) => {
+    await startAtRevisionOne();
     send();
     await simulation.runFor(100);
     expect(await counter(MALFORMED)).toBe(1);
@@ -180,7 +180,7 @@
 const BEGIN = { kind: 'snapshotBegin', revision: 9, stateHash: '', totalBytes: 1 } as const;
 const CHUNK = { kind: 'snapshotChunk', bytes: Buffer.from('x') } as const;
 const DELTA = { kind: 'delta', revision: 2, stateHash: '' } as const;
-const SIGN = {
+const REPLICA_REPORT = {
   kind: 'sign',
   replicaId: 'replica-1',
   incarnation: 1,
--- a/test/control-stream/versioned-table.test.ts
+++ b/test/control-stream/versioned-table.test.ts
@@ -16,10 +16,10 @@
     size: 'max',
   });
   fc.assert(
-    fc.property(keys, fc.double({ min: 0, max: 1, noNaN: true }), (changes, share) => {
+    fc.property(keys, fc.double({ min: 0, max: 1, noNaN: true }), (changes, fraction) => {
       const table = new VersionedTable<string>(MAXIMUM_ENTRIES);
       for (const key of changes) table.put(key, key);
-      const position = Math.floor(share * changes.length);
+      const position = Math.floor(fraction * changes.length);
       expect(table.position).toBe(changes.length);
       expect(table.changedAfter(position)).toEqual(latestAfter(changes, position));
     }),
--- a/test/control/in-force.test.ts
+++ b/test/control/in-force.test.ts
@@ -93,10 +93,10 @@
   );
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
   const sign = { replicaId: 'replica-1', observedBy: 'router' };
-  first?.client.reportReplicaSign({ ...sign, incarnation: 2, state: 'draining' });
+  first?.client.reportReplicaState({ ...sign, incarnation: 2, state: 'draining' });
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-  second?.client.reportReplicaSign({ ...sign, incarnation: 1, state: 'gone' });
-  second?.client.reportReplicaSign({ ...sign, incarnation: 2, state: 'live' });
+  second?.client.reportReplicaState({ ...sign, incarnation: 1, state: 'gone' });
+  second?.client.reportReplicaState({ ...sign, incarnation: 2, state: 'live' });
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
   return third?.signs.map(({ incarnation, state }) => `${incarnation} ${state}`);
 };
