--- a/src/control-stream/applied-age.ts
+++ b/src/control-stream/applied-age.ts
@@ -1,33 +1,38 @@
 /**
- * How long ago a controller's state is known to have been the agreed one.
- * Hearing a quorum is not enough: a controller whose disk hangs hears the
- * leader, yet lacks what the leader committed.
+ * Computes how long ago a controller's state was last known to contain every
+ * committed change. Contact with a quorum is not enough: a controller whose
+ * disk hangs still hears the leader, but has not applied what the leader
+ * committed.
  */
 import type { ReplicatedLogStatus } from '../consensus/replicated-log.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
 
-/** Committed as of a moment at which a quorum stood. */
+/** A commit index that was known at the time of a quorum contact, and is not yet applied. */
 interface AwaitedCommit {
   readonly index: number;
-  /** Clock reading. */
+  /** Clock reading of that quorum contact. Milliseconds. */
   readonly quorumAt: number;
 }
 
-/** What the age is read from. */
+/** The fields of the log's status from which the age is computed. */
 export type AppliedStatus = Pick<
   ReplicatedLogStatus,
   'appliedIndex' | 'knownCommitIndex' | 'sinceQuorumMs'
 >;
 
-/** Of one controller; read at least at each heartbeat. */
+/** The age of one controller's state. Must be read at least once per heartbeat. */
 export class AppliedAge {
   private upToDateAt = Number.NEGATIVE_INFINITY;
-  /** One at a time, so that a controller that keeps up under load is not taken for a late one. */
+  /**
+   * The commit index that must be applied before the state counts as up to date
+   * again. It is replaced only once reached: a target that moved with each commit
+   * would make a controller that keeps up under load look late.
+   */
   private awaited: AwaitedCommit | undefined;
 
   constructor(private readonly faults: ControlStreamFaults) {}
 
-  /** Milliseconds; Infinity before the state was known to be the agreed one. */
+  /** Age of the state in milliseconds; Infinity until it was first known to be up to date. */
   read({ appliedIndex, knownCommitIndex, sinceQuorumMs }: AppliedStatus, now: number): number {
     if (this.faults.ignoreApplyLag === true) return sinceQuorumMs;
     const quorumAt = now - sinceQuorumMs;
--- a/src/control-stream/client-metrics.ts
+++ b/src/control-stream/client-metrics.ts
@@ -1,7 +1,7 @@
-/** Counters of a daemon's end of the control stream. */
+/** Metrics of a daemon's end of the control stream. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 
-/** Registered once for each registry. */
+/** May be constructed once per registry. */
 export class ClientMetrics {
   readonly sessionsEnded: Counter<'reason'>;
   readonly resyncs: Counter<'reason'>;
@@ -15,24 +15,24 @@
     const registers = [registry];
     this.sessionsEnded = new Counter({
       name: 'driftway_control_stream_sessions_ended_total',
-      help: 'Sessions with a controller, by how they ended.',
+      help: 'Sessions with controllers that ended, by reason.',
       labelNames: ['reason'],
       registers,
     });
     this.resyncs = new Counter({
       name: 'driftway_control_stream_resyncs_total',
-      help: 'Whole configurations asked for, by reason.',
+      help: 'Requests for a whole configuration, by reason.',
       labelNames: ['reason'],
       registers,
     });
     this.lowerRevisionsIgnored = new Counter({
       name: 'driftway_control_stream_lower_revisions_ignored_total',
-      help: 'Snapshots that were below the revision in force.',
+      help: 'Snapshots ignored because their revision was below the one in force.',
       registers,
     });
     this.malformedFrames = new Counter({
       name: 'driftway_control_stream_malformed_frames_total',
-      help: 'Frames from controllers that the protocol does not allow.',
+      help: 'Frames from controllers that violate the protocol.',
       registers,
     });
     this.receivedBytes = new Counter({
@@ -48,7 +48,7 @@
     this.revision.set(-1);
     this.fresh = new Gauge({
       name: 'driftway_configuration_fresh',
-      help: '1 while a source has proven within its lease that it heard a quorum.',
+      help: '1 while the configuration is proven up to date within the quorum lease, otherwise 0.',
       registers,
       collect() {
         this.set(isFresh() ? 1 : 0);
--- a/src/control-stream/connected-controllers.ts
+++ b/src/control-stream/connected-controllers.ts
@@ -1,10 +1,13 @@
-/** The controllers that one controller hears itself, by their open connections. */
+/** The controllers whose exchange connections are open at one controller. */
 import { EXCHANGE_CODEC, type HearingMessage } from './exchange-messages.js';
 
-/** Separates member ids in a message; no name holds one. */
+/** Separates member ids in a message; names contain no space. */
 const SEPARATOR = ' ';
 
-/** Counts connections, since a controller may dial again before its last one is found dead. */
+/**
+ * Counts the connections of each controller, because a controller may dial
+ * again before its previous connection is found to be dead.
+ */
 export class ConnectedControllers {
   private readonly connections = new Map<string, number>();
   private encoded: Uint8Array | undefined;
@@ -21,7 +24,10 @@
     this.encoded = undefined;
   }
 
-  /** As an answer to another controller; the same object until something changes. */
+  /**
+   * The encoded answer that lists these controllers; the same object until a
+   * connection opens or closes.
+   */
   answerFrame(): Uint8Array {
     const memberIds = [...this.connections.keys()].join(SEPARATOR);
     this.encoded ??= EXCHANGE_CODEC.encode({ kind: 'hearing', memberIds });
@@ -29,7 +35,7 @@
   }
 }
 
-/** Reads {@link ConnectedControllers.answerFrame}. */
+/** Parses the member ids of {@link ConnectedControllers.answerFrame}. */
 export function parseHearing({ memberIds }: HearingMessage): ReadonlySet<string> {
   return new Set(memberIds.split(SEPARATOR));
 }
--- a/src/control-stream/control-stream-client.ts
+++ b/src/control-stream/control-stream-client.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon's end of the control stream. One task follows one controller at a
- * time, and looks for a better one where the present one fails.
+ * A daemon's end of the control stream. The daemon follows one controller at a
+ * time; when that session ends, it selects the controller to follow next.
  */
 import type { Stream } from '@most/types';
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
@@ -24,7 +24,7 @@
 import { SourceSession } from './source-session.js';
 import { RETURN_CHECK_INTERVAL_MS } from './stream-timing.js';
 
-/** Who the daemon is and whom it may follow; a router's settings file holds all of it. */
+/** The daemon's identity and its controllers, all of which a router's settings file contains. */
 export interface ControlStreamClientConfiguration {
   /** Unique among the daemons of the cluster. */
   readonly name: string;
@@ -33,7 +33,7 @@
   readonly controllers: readonly ControllerEndpoint[];
 }
 
-/** {@link ConfigurationSource} over the control stream. */
+/** Implements {@link ConfigurationSource} over the control stream. */
 export class ControlStreamClient implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
   readonly replicaReports: Stream<ReplicaReport>;
@@ -42,7 +42,7 @@
   private readonly logger: Logger;
   private readonly stop = new AbortController();
   private session: SourceSession | undefined;
-  /** How the latest session with each controller ended, by member id. */
+  /** Why the latest session with each controller ended, by member id. */
   private readonly lastEndReasons = new Map<string, SessionEnd>();
   private readonly finished: Promise<void>;
 
@@ -77,7 +77,10 @@
     this.finished = this.followControllers();
   }
 
-  /** Starts to follow; `current()` is undefined until a source proven fresh was reached. */
+  /**
+   * Starts to follow a controller. `current()` is undefined until a controller
+   * that is proven fresh has sent a configuration.
+   */
   static start(
     environment: Environment,
     configuration: ControlStreamClientConfiguration,
@@ -102,7 +105,7 @@
       this.session?.sendReplicaReport(report);
   }
 
-  /** Member id of the controller that is followed, if any. */
+  /** Member id of the controller with which a session is open or being opened, if any. */
   get source(): string | undefined {
     return this.session?.endpoint.memberId;
   }
@@ -138,7 +141,10 @@
     return end;
   }
 
-  /** Says nothing of one more try that failed like the one before. */
+  /**
+   * Logs the end of a session, unless it failed to start for the same reason as
+   * the previous one.
+   */
   private logEnd({ endpoint, wasWelcomed, detail }: SourceSession, reason: SessionEnd): void {
     const controller = endpoint.memberId;
     const repeated = this.lastEndReasons.get(controller) === reason;
@@ -148,7 +154,7 @@
     this.logger.info(message, { controller, reason, ...(detail === undefined ? {} : { detail }) });
   }
 
-  /** Looks after controllers that are preferred, and moves there once one stays healthy. */
+  /** Probes the preferred controllers in turn and ends the session once one stays healthy. */
   private async returnWhenHealthy(
     session: SourceSession,
     sessionEnded: AbortSignal,
@@ -157,7 +163,7 @@
     const { clock, random } = this.environment;
     while (preferred.length > 0 && !sessionEnded.aborted) {
       for (const endpoint of preferred) {
-        // Jittered, so that the daemons of a zone do not come back at one moment.
+        // Jitter keeps the daemons of a zone from returning at the same moment.
         const interval = RETURN_CHECK_INTERVAL_MS * (0.5 + random.nextFloat());
         await clock.sleep(interval, sessionEnded).catch(() => undefined);
         if (sessionEnded.aborted) return;
@@ -173,7 +179,7 @@
     }
   }
 
-  /** Returns whether the daemon still runs afterwards. */
+  /** Sleeps; resolves with false if the client is closed in the meantime. */
   private async pause(milliseconds: number): Promise<boolean> {
     try {
       await this.environment.clock.sleep(milliseconds, this.stop.signal);
--- a/src/control-stream/control-stream-faults.ts
+++ b/src/control-stream/control-stream-faults.ts
@@ -1,23 +1,23 @@
 /**
- * Defects that tests switch on to see their checks fail. Set from code only: no
- * settings file, flag or message reaches them.
+ * Defects that tests enable to verify that their checks detect them. They can
+ * be set from code only, never by a settings file, a flag or a message.
  */
 export interface ControlStreamFaults {
-  /** A daemon puts in force whatever its source holds, lower revisions too. */
+  /** A daemon applies whatever revision its source holds, including lower ones. */
   readonly applyLowerRevision?: boolean;
-  /** A daemon stays with its source whatever it sees of it. */
+  /** A daemon never leaves a source that is silent, behind or without a quorum. */
   readonly neverLeave?: boolean;
-  /** A daemon prefers no zone. */
+  /** A daemon does not prefer the controllers of its own zone. */
   readonly ignoreZone?: boolean;
-  /** A controller calls itself proven fresh without asking a quorum. */
+  /** A controller declares itself proven fresh without a read barrier. */
   readonly skipFreshnessProof?: boolean;
-  /** A controller counts as fresh while it lacks what it knows to be committed. */
+  /** A controller counts as fresh while it has not applied what it knows to be committed. */
   readonly ignoreApplyLag?: boolean;
-  /** A controller forgets a daemon as soon as it is silent. */
+  /** A controller removes a daemon as soon as the daemon's lease expires. */
   readonly forgetSilentDaemons?: boolean;
-  /** A controller keeps to itself what daemons told it. */
+  /** A controller does not forward daemon records and replica reports to other controllers. */
   readonly withholdReports?: boolean;
-  /** Controllers and daemons take over signs of earlier incarnations. */
+  /** Controllers and daemons accept replica reports that do not supersede the known one. */
   readonly acceptOlderSigns?: boolean;
 }
 
--- a/src/control-stream/control-stream-server.ts
+++ b/src/control-stream/control-stream-server.ts
@@ -1,4 +1,7 @@
-/** A controller's end of the control stream: serves any number of daemons, on followers too. */
+/**
+ * A controller's end of the control stream. Leaders and followers alike serve
+ * any number of daemons.
+ */
 import type { ReplicatedLog } from '../consensus/replicated-log.js';
 import type { Telemetry } from '../observability/telemetry.js';
 import type { RemoteIdentity } from '../protocol/handshake.js';
@@ -14,10 +17,10 @@
 import { StreamBroadcast } from './stream-broadcast.js';
 import { SubscriberSession, type SubscriberContext } from './subscriber-session.js';
 
-/** Longest wait, on a planned stop, for daemons to leave. Milliseconds. */
+/** On a planned stop, how long to wait for daemons to disconnect. Milliseconds. */
 export const LEAVE_TIMEOUT_MS = 2_000;
 
-/** What a server is made of. */
+/** Dependencies and options of a {@link ControlStreamServer}. */
 export interface ControlStreamServerParts {
   readonly clock: Clock;
   readonly memberId: string;
@@ -25,13 +28,13 @@
   readonly log: Pick<ReplicatedLog, 'readBarrier' | 'status'>;
   readonly daemons: DaemonDirectory;
   readonly replicaReports: ReplicaReportTable;
-  /** Called when there is something to pass on to other controllers. */
+  /** Called when there is an update to forward to other controllers. */
   readonly onUpdate: () => void;
   readonly historyOptions?: EncodedHistoryOptions;
   readonly faults?: ControlStreamFaults;
 }
 
-/** One for each controller. */
+/** Accepts the streams of daemons at one controller, until stopped. */
 export class ControlStreamServer {
   private readonly broadcast: StreamBroadcast;
   private readonly context: SubscriberContext;
@@ -68,7 +71,7 @@
     this.finished = this.broadcast.run(this.stopped.signal);
   }
 
-  /** Serves one daemon whose handshake is done; resolves when its stream is over. */
+  /** Serves one daemon after its handshake; resolves when its stream has ended. */
   async serve(connection: MessageConnection, peer: RemoteIdentity): Promise<void> {
     const session = new SubscriberSession(this.context, connection, peer.name);
     if (this.stopping) return session.sendGoodbye('stopping');
@@ -82,20 +85,26 @@
     }
   }
 
-  /** How long ago what this controller serves was known to be the agreed state. Milliseconds. */
+  /** How long ago the served state was last known to be up to date. Milliseconds. */
   get stateAge(): number {
     return this.broadcast.stateAge;
   }
 
-  /** A sign that came from elsewhere than a subscriber is to be sent on. */
+  /**
+   * Must be called after a replica report from anywhere but a subscriber was
+   * recorded; sends it to subscribers.
+   */
   notify(): void {
     this.broadcast.notifyAfterBatch();
   }
 
-  /** Asks every daemon to move elsewhere, waits a little, then ends what is left. */
+  /**
+   * Asks every daemon to disconnect, waits up to `LEAVE_TIMEOUT_MS`, then ends
+   * the remaining streams.
+   */
   async stop(): Promise<void> {
     this.stopping = true;
-    // Not awaited: a daemon that reads nothing must not hold up the stop.
+    // Not awaited: a daemon that does not read must not delay the stop.
     for (const session of this.sessions) void session.sendGoodbye('stopping');
     const deadline = this.parts.clock.now() + LEAVE_TIMEOUT_MS;
     while (this.sessions.size > 0 && this.parts.clock.now() < deadline) {
--- a/src/control-stream/controller-exchange.ts
+++ b/src/control-stream/controller-exchange.ts
@@ -1,9 +1,10 @@
 /**
- * Passes reports of daemons and signs of replicas between controllers. Each
- * controller keeps one connection to every other and sends what is new to it.
- * A sign received as news it sends on, and a report it sends on to those that
- * do not hear the report's controller themselves, so that two controllers cut
- * off from each other still learn from a third.
+ * Exchanges daemon records and replica reports between controllers. Each
+ * controller keeps one connection to every other and sends its updates over
+ * it. It forwards every replica report that is new to it, and forwards a daemon
+ * record to the controllers that are not connected to the record's own
+ * controller, so that two controllers that are partitioned from each other
+ * still learn of it through a third.
  */
 import { Counter } from 'prom-client';
 import { Notifier } from '../consensus/notifier.js';
@@ -23,27 +24,27 @@
 import type { ReplicaReportTable } from './replica-report-table.js';
 import { fromReplicaReportMessage } from './replica-report-message.js';
 
-/** How often the list of members is looked at. Milliseconds. */
+/** How often the connections are adjusted to the list of members. Milliseconds. */
 const MEMBERS_INTERVAL_MS = 1_000;
 
-/** A connection over which nothing arrived for this long is closed, at either end. Milliseconds. */
+/** Either end closes a connection on which nothing arrived for this long. Milliseconds. */
 export const EXCHANGE_SILENCE_MS = 10_000;
 
 const KEEP_ALIVE_FRAME = EXCHANGE_CODEC.encode({ kind: 'keepAlive' });
 
-/** What an exchange is made of. */
+/** Dependencies and options of a {@link ControllerExchange}. */
 export interface ControllerExchangeParts {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly readMembers: () => readonly ReplicatedLogMember[];
   readonly daemons: DaemonDirectory;
   readonly replicaReports: ReplicaReportTable;
-  /** Called when another controller told of a sign that was not known here. */
+  /** Called after replica reports from another controller were recorded that were new here. */
   readonly onReplicaReports: () => void;
   readonly faults?: ControlStreamFaults;
 }
 
-/** One for each controller. */
+/** One controller's exchange with all other members of the replicated log. */
 export class ControllerExchange {
   private readonly updates: Notifier;
   private readonly connectedControllers = new ConnectedControllers();
@@ -59,18 +60,18 @@
     this.updates = new Notifier(parts.environment.clock);
     this.malformedFrames = new Counter({
       name: 'driftway_exchange_malformed_frames_total',
-      help: 'Frames from other controllers that the protocol does not allow.',
+      help: 'Frames from other controllers that violate the protocol.',
       registers: [telemetry.registry],
     });
     this.finished = this.followMembers();
   }
 
-  /** There is something to pass on. */
+  /** Must be called after a daemon record or replica report was recorded; wakes the senders. */
   notify(): void {
     this.updates.notify();
   }
 
-  /** Receives from one other controller until its connection ends. */
+  /** Receives from one other controller until the connection ends; never rejects. */
   async serve(connection: MessageConnection, peer: RemoteIdentity): Promise<void> {
     const guard = new SilenceGuard(this.parts.environment.clock, connection, EXCHANGE_SILENCE_MS);
     void guard.run();
@@ -82,7 +83,8 @@
         if (frame === undefined) break;
         guard.recordReceived();
         this.handleMessages(EXCHANGE_CODEC.decodeBatch(frame, peer.name), peer.name);
-        // Tells the sender that its frames arrive, and what need not be sent.
+        // The answer confirms that frames arrive, and tells the sender which
+        // records it need not send.
         const answer = this.connectedControllers.answerFrame();
         await connection.send(answer === previousAnswer ? KEEP_ALIVE_FRAME : answer);
         previousAnswer = answer;
@@ -141,7 +143,7 @@
         const { scope, ...rest } = message;
         const report = fromReplicaReportMessage({ ...rest, kind: 'sign' });
         if (report === undefined) {
-          throw new MalformedMessageError('read exchange', peer, 'not a sign of a replica');
+          throw new MalformedMessageError('read exchange', peer, 'expected a valid replica report');
         }
         hasNewReplicaReport =
           this.parts.replicaReports.record({ scope, report }) || hasNewReplicaReport;
--- a/src/control-stream/daemon-directory.ts
+++ b/src/control-stream/daemon-directory.ts
@@ -1,7 +1,8 @@
 /**
- * The daemons of the cluster by lease: each report renews it, at the controller
- * that hears it and at those it is passed on to. A daemon whose lease ran out
- * counts as late, not as gone: it may still serve with what it holds.
+ * The daemons of the cluster, each with a lease that every report renews, both
+ * at the controller that receives it and at those it is forwarded to. A daemon
+ * whose lease has expired counts as late, not as gone: it may still serve with
+ * the configuration that it holds.
  */
 import type { DaemonRevision, ForceReport, ForceTracker } from '../administration/force-tracker.js';
 import type { Clock } from '../seams/clock.js';
@@ -9,26 +10,26 @@
 import { isNewer, type DaemonRecord } from './daemon-record.js';
 import { VersionedTable } from './versioned-table.js';
 
-/** Most daemons remembered. */
+/** Maximum number of daemons whose records are kept for other controllers. */
 const MAXIMUM_DAEMONS = 20_000;
 
-/** A report is passed on at once when it says something new, otherwise this often. Milliseconds. */
+/** A changed record is forwarded at once, an unchanged one at this interval. Milliseconds. */
 const RENEWAL_INTERVAL_MS = 5_000;
 
-/** A daemon not heard of for this long is shown as silent. Milliseconds. */
+/** A daemon without a report for this long is shown as silent. Milliseconds. */
 export const DAEMON_LEASE_MS = 15_000;
 
 /**
- * A daemon not heard of for this long is forgotten: longer than regions are
- * expected to be out of reach of each other, since it may serve meanwhile with
- * what it holds. Milliseconds.
+ * A daemon without a report for this long is removed. Longer than any expected
+ * partition between regions, during which the daemon may go on serving with
+ * the configuration that it holds. Milliseconds.
  */
 export const FORGET_AFTER_MS = 2 * 3_600_000;
 
-/** A daemon as shown to operators. */
+/** A daemon's latest record and its age. */
 export interface DaemonStatus {
   readonly record: DaemonRecord;
-  /** Since its last report reached this controller. Milliseconds. */
+  /** Time since the daemon's latest report, wherever it was received. Milliseconds. */
   readonly silentMs: number;
 }
 
@@ -52,7 +53,7 @@
   return { name, zone, version, revision, silentMs };
 }
 
-/** One controller's view. */
+/** One controller's records of all daemons, whether reported here or at another controller. */
 export class DaemonDirectory implements ForceTracker {
   private readonly entries = new Map<string, DaemonEntry>();
   private readonly outgoing = new VersionedTable<DaemonRecord>(MAXIMUM_DAEMONS);
@@ -62,12 +63,12 @@
     private readonly faults: ControlStreamFaults = NO_CONTROL_STREAM_FAULTS,
   ) {}
 
-  /** Position of the newest record to pass on. */
+  /** Position of the newest record to forward. */
   get position(): number {
     return this.outgoing.position;
   }
 
-  /** Records to pass on that changed after `position`, with their present age. */
+  /** Records to forward that changed after `position`, with their present age. */
   changedAfter(position: number): readonly DaemonStatus[] {
     const now = this.clock.now();
     return this.outgoing.changedAfter(position).map((record) => {
@@ -76,12 +77,12 @@
     });
   }
 
-  /** Largest incarnation shown under `name`; 0 when none was. */
+  /** Largest incarnation reported under `name`; 0 if there is none. */
   incarnationOf(name: string): number {
     return this.entries.get(name)?.record.incarnation ?? 0;
   }
 
-  /** Takes in a report given `silentMs` ago; returns whether it has to be passed on now. */
+  /** Records a report made `silentMs` ago; returns whether it must be forwarded now. */
   record(record: DaemonRecord, silentMs = 0): boolean {
     const now = this.clock.now();
     const known = this.entries.get(record.name);
@@ -96,7 +97,7 @@
     return mustForward;
   }
 
-  /** Daemons that have not said that they stop, by name. */
+  /** All daemons except those that announced their stop, ordered by name. */
   daemons(): DaemonStatus[] {
     const now = this.clock.now();
     this.removeExpired(now);
--- a/src/control-stream/daemon-record.ts
+++ b/src/control-stream/daemon-record.ts
@@ -1,23 +1,23 @@
-/** What controllers know of a daemon, and which of two records is newer. */
+/** The record of a daemon that controllers keep and exchange. */
 
-/** Told by the daemon to the controller it follows, and passed on between controllers. */
+/** Built from a daemon's report by the controller it follows, and forwarded between controllers. */
 export interface DaemonRecord {
   readonly name: string;
   readonly zone: string;
   readonly version: string;
-  /** Of the daemon's process. */
+  /** Incarnation of the daemon's process. */
   readonly incarnation: number;
-  /** Grows with each report of an incarnation. */
+  /** Increases with each report within an incarnation. */
   readonly sequence: number;
-  /** In force at the daemon. */
+  /** Revision in force at the daemon. */
   readonly revision: number;
-  /** Member id of the controller that heard the report. */
+  /** Member id of the controller that received the report from the daemon. */
   readonly controller: string;
-  /** The daemon said that it stops. */
+  /** Whether the daemon announced a planned stop. */
   readonly left: boolean;
 }
 
-/** Whether `candidate` was given later than `known`, whichever way each arrived. */
+/** Whether the daemon reported `candidate` after `known`, regardless of the order of arrival. */
 export function isNewer(candidate: DaemonRecord, known: DaemonRecord): boolean {
   if (candidate.incarnation !== known.incarnation) {
     return candidate.incarnation > known.incarnation;
--- a/src/control-stream/daemon-state.ts
+++ b/src/control-stream/daemon-state.ts
@@ -1,7 +1,6 @@
 /**
- * What a daemon knows, whichever controller told it: the configuration in
- * force, how far it is proven, and signs of replicas. Sessions come and go; this
- * stays.
+ * A daemon's state that outlives its sessions with single controllers: the
+ * configuration in force, the proof of its freshness, and replica reports.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
@@ -14,15 +13,18 @@
 import type { AssembledSnapshot } from './snapshot-assembler.js';
 import { VersionedTable } from './versioned-table.js';
 
-/** Most replicas whose signs are remembered. */
+/** Maximum number of replicas whose reports are kept. */
 export const MAXIMUM_REPLICA_REPORTS = 100_000;
 
-/** Shared by all sessions of one daemon. */
+/** Shared by all sessions of one daemon; emits each revision and replica report that it accepts. */
 export class DaemonState {
   readonly proof = new FreshnessProof();
   readonly revisions: Stream<ConfigurationState>;
   readonly replicaReports: Stream<ReplicaReport>;
-  /** Signs that this daemon observed itself. */
+  /**
+   * The latest report on each replica that this daemon observed itself; sent
+   * again in each session.
+   */
   readonly ownReplicaReports = new VersionedTable<ReplicaReport>(MAXIMUM_REPLICA_REPORTS);
   readonly held: HeldConfiguration;
   private readonly receivedReplicaReports = new VersionedTable<ReplicaReport>(
@@ -40,7 +42,7 @@
     [this.emitReplicaReport, this.replicaReports] = createAdapter<ReplicaReport>();
   }
 
-  /** Returns whether the snapshot could be read. */
+  /** Returns false if the snapshot's content does not match its hash. */
   applySnapshot({ state, stateHash }: AssembledSnapshot): boolean {
     const outcome = this.held.applySnapshot(state, stateHash);
     if (outcome === 'lower') this.metrics.lowerRevisionsIgnored.inc();
@@ -54,7 +56,10 @@
     return outcome;
   }
 
-  /** A sign that another daemon or the platform gave. */
+  /**
+   * Records and emits a report by another daemon or the platform, if it is
+   * newer than the known one.
+   */
   applyReplicaReport(report: ReplicaReport): void {
     const known = this.receivedReplicaReports.get(report.replicaId);
     if (!this.isNewer(report, known)) return;
@@ -62,7 +67,10 @@
     this.emitReplicaReport(report);
   }
 
-  /** A sign that this daemon saw; returns whether it is news. */
+  /**
+   * Records a report by this daemon; returns whether it is newer than this
+   * daemon's previous one.
+   */
   recordOwnReplicaReport(report: ReplicaReport): boolean {
     const known = this.ownReplicaReports.get(report.replicaId);
     if (!this.isNewer(report, known)) return false;
--- a/src/control-stream/encoded-history.ts
+++ b/src/control-stream/encoded-history.ts
@@ -1,4 +1,4 @@
-/** The configuration and its latest changes as frames, each encoded once for all subscribers. */
+/** Frames of the configuration and its latest changes, each encoded once for all subscribers. */
 import type { Disposable } from '@most/types';
 import { MAXIMUM_FRAME_BYTES } from '../seams/message-connection.js';
 import type { AcceptedChange } from '../settings/accepted-change.js';
@@ -8,12 +8,15 @@
 import { STREAM_CODEC } from './stream-messages.js';
 
 /**
- * Payload of one chunk: at 22 kB/s a daemon still hears of its source before
- * it takes it for silent. Bytes.
+ * Payload of one snapshot chunk. At 22 kB/s or more, each chunk arrives before
+ * the daemon considers its source silent (`SOURCE_SILENCE_MS`). Bytes.
  */
 export const SNAPSHOT_CHUNK_BYTES = 64 * 1024;
 
-/** Most changes kept as frames; a daemon further behind gets the whole configuration. */
+/**
+ * Maximum number of changes kept as frames; a daemon further behind gets the
+ * whole configuration.
+ */
 export const ENCODED_CHANGES = 256;
 
 interface EncodedDelta {
@@ -21,13 +24,13 @@
   readonly frame: Uint8Array;
 }
 
-/** Bounds that tests make small. */
+/** Limits of an {@link EncodedHistory}; tests set small ones. */
 export interface EncodedHistoryOptions {
   readonly chunkBytes: number;
   readonly changes: number;
 }
 
-/** Frames of one controller. */
+/** Follows the feed of one controller until disposed of. */
 export class EncodedHistory {
   private deltas: EncodedDelta[] = [];
   private snapshot: readonly Uint8Array[] | undefined;
@@ -57,7 +60,11 @@
     return this.hash;
   }
 
-  /** What takes a daemon from `heldRevision` to the present one; empty when it is there or beyond. */
+  /**
+   * Frames that bring a daemon from `heldRevision` to the current revision: its
+   * changes, or a snapshot where some are no longer kept. Empty when the daemon
+   * is at the current revision or above.
+   */
   framesAfter(heldRevision: number): readonly Uint8Array[] {
     if (heldRevision >= this.revision) return [];
     const missing = this.deltas.filter(({ revision }) => revision > heldRevision);
@@ -65,7 +72,7 @@
     return consecutive ? missing.map(({ frame }) => frame) : this.snapshotFrames();
   }
 
-  /** The whole present configuration. */
+  /** Frames of the whole current configuration. */
   snapshotFrames(): readonly Uint8Array[] {
     this.snapshot ??= this.encodeSnapshot();
     return this.snapshot;
@@ -86,7 +93,7 @@
     });
     this.deltas.push({ revision: change.revision, frame });
     if (this.deltas.length > this.options.changes) this.deltas.shift();
-    // Whoever needs this one gets the whole configuration in chunks instead.
+    // A change too large for one frame is sent as a snapshot, whose chunks are bounded.
     if (frame.length > MAXIMUM_FRAME_BYTES) this.deltas = [];
     this.onChange();
   }
--- a/src/control-stream/exchange-link.ts
+++ b/src/control-stream/exchange-link.ts
@@ -1,4 +1,4 @@
-/** The sending half of the exchange with one other controller. */
+/** The sending half of the exchange with one other controller: dials it and sends updates. */
 import type { Notifier } from '../consensus/notifier.js';
 import { dial } from '../protocol/dial.js';
 import { parseAddress } from '../seams/address.js';
@@ -10,22 +10,25 @@
 import { SilenceGuard } from './silence-guard.js';
 import { CONNECT_TIMEOUT_MS, INITIAL_BACK_OFF_MS, MAXIMUM_BACK_OFF_MS } from './stream-timing.js';
 
-/** Longest time without a message. Milliseconds. */
+/** A keep-alive is sent after this long without any other message. Milliseconds. */
 const KEEP_ALIVE_INTERVAL_MS = 3_000;
 
-/** News within this time goes into one frame. Milliseconds. */
+/** Delay before updates are sent, so that those in quick succession share a frame. Milliseconds. */
 const BATCH_INTERVAL_MS = 50;
 
-/** Most messages of one frame. */
+/** Maximum number of messages in one frame. */
 const MESSAGES_PER_FRAME = 1_000;
 
 const NO_CONTROLLERS: ReadonlySet<string> = new Set();
 
-/** Reconnects until stopped. */
+/** Reconnects with jittered back-off until stopped. */
 export class ExchangeLink {
   private readonly stopped = new AbortController();
   private connection: MessageConnection | undefined;
-  /** Controllers that the other one hears itself, as it last said. */
+  /**
+   * Member ids of the controllers connected to the peer, from its latest answer
+   * that listed them.
+   */
   private connectedToPeer: ReadonlySet<string> = NO_CONTROLLERS;
   private daemonPosition = 0;
   private replicaReportPosition = 0;
@@ -58,7 +61,7 @@
     }
   }
 
-  /** Returns whether the connection came about. */
+  /** Resolves when the connection has ended, with whether it was established; never rejects. */
   private async connectAndSend(): Promise<boolean> {
     const { environment, identity } = this.parts;
     let open = false;
@@ -74,7 +77,7 @@
       void this.receiveAnswers(connection);
       await this.sendUpdates(connection);
     } catch {
-      // Counted by the accepting side; tried again after a pause.
+      // The accepting side counts the failure; this side reconnects after a pause.
     } finally {
       this.connection?.close();
       this.connection = undefined;
@@ -82,7 +85,7 @@
     return open;
   }
 
-  /** From the beginning on each connection: the other side may have lost what it knew. */
+  /** Sends all updates anew on each connection, because the peer may have lost its state. */
   private async sendUpdates(connection: MessageConnection): Promise<void> {
     const { daemons, replicaReports } = this.parts;
     this.connectedToPeer = NO_CONTROLLERS;
@@ -105,9 +108,9 @@
   }
 
   /**
-   * Reads the answers of the other side. Without them, a connection that was cut
-   * for long would first carry something again at TCP's next retransmission,
-   * minutes after the cut has healed.
+   * Reads the peer's answers, and closes the connection when they stop. Without
+   * that, a connection that survived a long partition would carry no data until
+   * TCP's next retransmission, minutes after the partition has healed.
    */
   private async receiveAnswers(connection: MessageConnection): Promise<void> {
     const guard = new SilenceGuard(this.parts.environment.clock, connection, EXCHANGE_SILENCE_MS);
@@ -122,7 +125,7 @@
         }
       }
     } catch {
-      // Broken, or not an answer: the connection is no use any more.
+      // The connection broke, or the peer sent something that is not an answer: close it.
     }
     connection.close();
   }
@@ -131,7 +134,7 @@
     const hasDisconnected = [...this.connectedToPeer].some((memberId) => !connected.has(memberId));
     this.connectedToPeer = connected;
     if (!hasDisconnected) return;
-    // What was left to a controller that the other one no longer hears.
+    // The peer lost a controller that sent it daemon records directly: send these from here.
     this.daemonPosition = 0;
     this.updates.notify();
   }
@@ -152,7 +155,7 @@
     return this.parts.faults?.withholdReports === true ? [] : [...daemons, ...replicaReports];
   }
 
-  /** What is new to the other controller; a sign of life when there is nothing, and it is time. */
+  /** Updates for the peer; a keep-alive if there are none and it is due; otherwise nothing. */
   private nextMessages(): ExchangeMessage[] {
     const messages = this.collectUpdates();
     if (messages.length > 0) return messages;
--- a/src/control-stream/exchange-messages.ts
+++ b/src/control-stream/exchange-messages.ts
@@ -1,18 +1,18 @@
-/** Messages by which controllers pass on what daemons told them. */
+/** Messages by which controllers exchange daemon records and replica reports. */
 import { MessageCodec } from '../protocol/message-codec.js';
 import type { DaemonRecord } from './daemon-record.js';
 
-/** A daemon's latest report. */
+/** A daemon's latest record. */
 export interface DaemonMessage extends DaemonRecord {
   readonly kind: 'daemon';
-  /** Since the daemon gave the report. Milliseconds. */
+  /** Time since the daemon's report. Milliseconds. */
   readonly silentMs: number;
 }
 
-/** A sign about a replica and where it holds. */
+/** A report on a replica's state, and the zone for which it is valid. */
 export interface ScopedReplicaReportMessage {
   readonly kind: 'scopedSign';
-  /** A zone, or empty for every zone. */
+  /** Name of the zone; empty for all zones. */
   readonly scope: string;
   readonly replicaId: string;
   readonly incarnation: number;
@@ -20,15 +20,18 @@
   readonly observedBy: string;
 }
 
-/** Nothing to say; shows that the sender is there. */
+/** Shows that the sender is alive when it has nothing else to send. */
 export interface KeepAliveMessage {
   readonly kind: 'keepAlive';
 }
 
-/** In an answer: which controllers the receiver hears itself, so that no one need pass on theirs. */
+/**
+ * Answer that lists the controllers connected to the receiver. Other controllers
+ * need not forward their daemon records to it.
+ */
 export interface HearingMessage {
   readonly kind: 'hearing';
-  /** Separated by spaces. */
+  /** Member ids, separated by spaces. */
   readonly memberIds: string;
 }
 
@@ -64,7 +67,7 @@
   hearing: { tag: 43, fields: [{ name: 'memberIds', type: 'string' }] },
 });
 
-/** The record that a message carries. */
+/** Extracts the record from a message. */
 export function toDaemonRecord(message: DaemonMessage): DaemonRecord {
   const { name, zone, version, incarnation, sequence, revision, controller, left } = message;
   return { name, zone, version, incarnation, sequence, revision, controller, left };
--- a/src/control-stream/freshness-proof.ts
+++ b/src/control-stream/freshness-proof.ts
@@ -1,17 +1,20 @@
-/** The latest moment up to which a daemon's configuration is proven to be the agreed one. */
+/** The latest moment at which a daemon's configuration is proven to have been up to date. */
 import { QUORUM_LEASE_MS } from './stream-timing.js';
 
-/** Outlives the connection that brought the proof. */
+/** Proofs from any source; a proof stays valid after the session that brought it has ended. */
 export class FreshnessProof {
   private provenAt = Number.NEGATIVE_INFINITY;
   private highestCommitted = 0;
 
-  /** A source, whose quorum was heard at `quorumAt`, holds the revision that is in force here. */
+  /**
+   * Records that a source with quorum contact at `quorumAt` holds the revision
+   * in force at this daemon.
+   */
   recordProof(quorumAt: number): void {
     this.provenAt = Math.max(this.provenAt, quorumAt);
   }
 
-  /** Some source knows `revision` to be committed. */
+  /** Records that `revision` is known to be committed. */
   recordCommitted(revision: number): void {
     this.highestCommitted = Math.max(this.highestCommitted, revision);
   }
--- a/src/control-stream/held-configuration.ts
+++ b/src/control-stream/held-configuration.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration in force at a daemon, and the rule by which it moves: only
- * to a higher revision, or to the source's content of the same revision when
- * the two differ.
+ * The configuration in force at a daemon. It is replaced only by a higher
+ * revision, or by the source's content of the same revision when the two
+ * differ.
  */
 import type { AcceptedChange } from '../settings/accepted-change.js';
 import { replayOperations } from '../settings/apply-operations.js';
@@ -10,35 +10,35 @@
 import { hashConfiguration } from './state-hash.js';
 import { NO_REVISION } from './stream-messages.js';
 
-/** What became of an offered snapshot. */
+/** Result of {@link HeldConfiguration.applySnapshot}. */
 export type SnapshotOutcome =
   | 'applied'
-  /** The source holds less than the daemon. */
+  /** Ignored: the snapshot's revision is below the one in force. */
   | 'lower'
-  /** Already in force. */
+  /** Ignored: the same revision and content are already in force. */
   | 'equal'
-  /** Same revision, other content: the daemon took over the source's. */
+  /** Applied: same revision with different content; the source's content replaced the daemon's. */
   | 'divergence_replaced'
-  /** The content is not what the source's hash says. */
+  /** Rejected: the content does not match the source's hash. */
   | 'unreadable';
 
-/** What became of an offered change. */
+/** Result of {@link HeldConfiguration.applyDelta}. */
 export type DeltaOutcome =
   | 'applied'
-  /** At or below the revision in force. */
+  /** Ignored: at or below the revision in force. */
   | 'known'
-  /** Changes before it are missing. */
+  /** Rejected: changes before it are missing. */
   | 'gap'
-  /** Applying it did not give the source's content; it was not put in force. */
+  /** Rejected: applying the change does not produce the source's content. */
   | 'divergence';
 
-/** One accepted change as received, with the hash the result must have. */
+/** One accepted change as received, with the hash of the configuration after it. */
 export interface ReceivedDelta {
   readonly change: AcceptedChange;
   readonly stateHash: string;
 }
 
-/** State of a daemon's copy. */
+/** The revision in force and its hash; nothing is in force until the first snapshot. */
 export class HeldConfiguration {
   private state: ConfigurationState | undefined;
   private hash = '';
@@ -54,12 +54,12 @@
     return this.state?.revision ?? NO_REVISION;
   }
 
-  /** Whether a source that holds `revision` with `stateHash` contradicts what is in force. */
+  /** Whether the source has the revision in force with different content. */
   divergesFrom(revision: number, stateHash: string): boolean {
     return revision === this.revision && stateHash !== this.hash;
   }
 
-  /** Whether a source at `revision` ought to have sent something by now. */
+  /** Whether changes up to the source's `revision` are missing here. */
   isBehind(revision: number): boolean {
     return this.faults.applyLowerRevision === true
       ? revision !== this.revision
@@ -88,8 +88,9 @@
   }
 
   /**
-   * Undefined when the change does not fit, which it did at the controllers. They
-   * also validated the whole result, and the hash shows that this is the same.
+   * Returns undefined if the change cannot be applied, which means that the state
+   * differs from the controllers', where it was applied. The result is not
+   * validated again: the controllers did so, and the hash shows that it is equal.
    */
   private applyChange(
     state: ConfigurationState,
--- a/src/control-stream/observe.ts
+++ b/src/control-stream/observe.ts
@@ -1,11 +1,14 @@
-/** Calls a function for each event of a stream that has no timers of its own. */
+/** Subscribes callbacks to streams that have no timers of their own. */
 import { newDefaultScheduler } from '@most/scheduler';
 import type { Disposable, Stream } from '@most/types';
 
-/** Stamps events only; streams that involve time need a scheduler made from the Clock seam. */
+/** Only timestamps events; streams with timers need a scheduler made from the Clock seam. */
 const SCHEDULER = newDefaultScheduler();
 
-/** Calls `callback` as events occur, until the result is disposed of. */
+/**
+ * Calls `callback` for each event until the result is disposed of. Rethrows
+ * errors of the stream.
+ */
 export function observe<T>(stream: Stream<T>, callback: (event: T) => void): Disposable {
   const sink = {
     event: (_time: number, event: T): void => callback(event),
--- a/src/control-stream/replica-report-message.ts
+++ b/src/control-stream/replica-report-message.ts
@@ -1,4 +1,4 @@
-/** Converts replica signs to and from their message. */
+/** Converts replica reports to and from their wire message, whose kind is `sign`. */
 import { nameSchema } from '../model/service-definition.js';
 import {
   REPLICA_STATE_RANK,
@@ -11,7 +11,7 @@
   return { kind: 'sign', ...report };
 }
 
-/** The sign, or undefined when the message does not hold a valid one. */
+/** Returns undefined if the state is unknown, or a name in the message is invalid. */
 export function fromReplicaReportMessage(message: ReplicaReportMessage): ReplicaReport | undefined {
   const { replicaId, incarnation, state, observedBy } = message;
   if (!Object.hasOwn(REPLICA_STATE_RANK, state)) return undefined;
--- a/src/control-stream/replica-report-table.ts
+++ b/src/control-stream/replica-report-table.ts
@@ -1,8 +1,9 @@
 /**
- * The newest sign of each replica, as one controller knows it. What a back end
- * says of itself (draining, a new incarnation) and what the platform says holds
- * everywhere. That a router finds a replica gone holds for its zone alone,
- * since the cause may be the zone's own cut.
+ * The newest report on each replica known to one controller. What a back end
+ * states about itself (draining, a new incarnation) and what the platform
+ * states is valid in all zones. A router's finding that a replica is gone is
+ * valid in the router's zone only, since the cause may be a partition of that
+ * zone.
  */
 import { supersedes, type ReplicaReport } from '../model/replica-report.js';
 import { NO_CONTROL_STREAM_FAULTS, type ControlStreamFaults } from './control-stream-faults.js';
@@ -10,34 +11,34 @@
 import { STREAM_CODEC } from './stream-messages.js';
 import { VersionedTable } from './versioned-table.js';
 
-/** `observedBy` of signs from the platform's list. */
+/** `observedBy` of reports derived from the platform's list. */
 export const PLATFORM_OBSERVER = 'platform';
 
-/** Scope of signs that hold in every zone. */
+/** Scope of reports that are valid in every zone. */
 export const ALL_ZONES = '';
 
-/** Most replicas and zones whose signs are kept. */
+/** Maximum number of pairs of scope and replica whose reports are kept. */
 const MAXIMUM_ENTRIES = 100_000;
 
-/** A sign and the zone it holds for. */
+/** A replica report and the zone in which it is valid. */
 export interface ScopedReplicaReport {
-  /** A zone, or {@link ALL_ZONES}. */
+  /** Name of a zone, or {@link ALL_ZONES}. */
   readonly scope: string;
   readonly report: ReplicaReport;
 }
 
 interface TableEntry extends ScopedReplicaReport {
-  /** The sign's message, encoded once for all subscribers. */
+  /** The report's message, encoded once for all subscribers. */
   readonly bytes: Uint8Array;
 }
 
-/** Where a sign observed in `zone` holds. */
+/** Scope in which a report by an observer in `zone` is valid. */
 export function scopeOf(report: ReplicaReport, zone: string): string {
   const inferred = report.state === 'gone' && report.observedBy !== PLATFORM_OBSERVER;
   return inferred ? zone : ALL_ZONES;
 }
 
-/** Signs by scope and replica. */
+/** The newest report by scope and replica; its readers keep positions. */
 export class ReplicaReportTable {
   private readonly table = new VersionedTable<TableEntry>(MAXIMUM_ENTRIES);
 
@@ -47,7 +48,7 @@
     return this.table.position;
   }
 
-  /** Returns whether the sign is news. An older one never replaces a newer one. */
+  /** Records a report unless a known one is as new or newer; returns whether it was recorded. */
   record({ scope, report }: ScopedReplicaReport): boolean {
     if (this.isKnown(scope, report) || this.isKnown(ALL_ZONES, report)) return false;
     const bytes = STREAM_CODEC.encode(toReplicaReportMessage(report));
@@ -55,12 +56,15 @@
     return true;
   }
 
-  /** Signs changed after `position`, for another controller. */
+  /** Reports of all scopes that changed after `position`, for another controller. */
   changedAfter(position: number): readonly ScopedReplicaReport[] {
     return this.table.changedAfter(position);
   }
 
-  /** Signs changed after `position` that hold in `zone`, as one frame. */
+  /**
+   * Reports valid in `zone` that changed after `position`, as one frame;
+   * undefined if there are none.
+   */
   frameAfter(position: number, zone: string): Uint8Array | undefined {
     const changed = this.table
       .changedAfter(position)
--- a/src/control-stream/server-metrics.ts
+++ b/src/control-stream/server-metrics.ts
@@ -1,7 +1,7 @@
-/** Counters of a controller's end of the control stream. */
+/** Metrics of a controller's end of the control stream. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 
-/** Registered once for each registry. */
+/** May be constructed once per registry. */
 export class ServerMetrics {
   readonly subscribers: Gauge;
   readonly sentBytes: Counter;
@@ -14,7 +14,7 @@
     const registers = [registry];
     this.subscribers = new Gauge({
       name: 'driftway_control_stream_subscribers',
-      help: 'Daemons that follow this controller.',
+      help: 'Daemons connected to this controller, including those that only probe it.',
       registers,
     });
     this.sentBytes = new Counter({
@@ -24,23 +24,23 @@
     });
     this.malformedFrames = new Counter({
       name: 'driftway_control_stream_subscriber_malformed_frames_total',
-      help: 'Frames from daemons that the protocol does not allow.',
+      help: 'Frames from daemons that violate the protocol.',
       registers,
     });
     this.supersededReports = new Counter({
       name: 'driftway_control_stream_superseded_reports_total',
-      help: 'Reports of a daemon whose name a newer process has taken: two have the same name.',
+      help: 'Reports from a daemon whose name a newer process also uses: two daemons share a name.',
       registers,
     });
     this.resyncs = new Counter({
       name: 'driftway_control_stream_subscriber_resyncs_total',
-      help: 'Whole configurations that daemons asked for, by reason.',
+      help: 'Requests by daemons for a whole configuration, by reason.',
       labelNames: ['reason'],
       registers,
     });
     this.streamsEnded = new Counter({
       name: 'driftway_control_stream_subscribers_ended_total',
-      help: 'Streams that ended, by how.',
+      help: 'Streams of daemons that ended, by reason.',
       labelNames: ['reason'],
       registers,
     });
--- a/src/control-stream/session-end.ts
+++ b/src/control-stream/session-end.ts
@@ -1,22 +1,22 @@
-/** How a daemon's session with one controller ended; also the label of its counter. */
+/** Why a daemon's session with one controller ended; also the label value of its counter. */
 export type SessionEnd =
   | 'connect_failed'
   | 'handshake_failed'
-  /** Nothing arrived for `SOURCE_SILENCE_MS`. */
+  /** Nothing arrived for `SOURCE_SILENCE_MS`, or for `WELCOME_TIMEOUT_MS` before the welcome. */
   | 'silent'
-  /** The source heard no quorum for `QUORUM_LEASE_MS`, or never proved that it is fresh. */
+  /** The source had no quorum contact for `QUORUM_LEASE_MS`, or never proved itself fresh. */
   | 'cut_off'
-  /** The source stayed at a lower revision than the daemon. */
+  /** The source stayed at a lower revision than the daemon's. */
   | 'behind'
-  /** The connection broke, or the source closed it without a word. */
+  /** The connection broke, or the source closed it without a goodbye. */
   | 'lost'
-  /** The source said that it is about to stop. */
+  /** The source announced a planned stop. */
   | 'stopping'
-  /** The source sent something that the protocol does not allow. */
+  /** The source violated the protocol. */
   | 'malformed'
-  /** Another process of the same name has shown a larger incarnation. */
+  /** Another process of the same name has reported a larger incarnation. */
   | 'superseded'
-  /** A controller of the own zone is healthy again. */
+  /** A controller of the daemon's own zone is healthy again. */
   | 'returned'
-  /** The daemon itself stops. */
+  /** The daemon stops, or a probe is over. */
   | 'closed';
--- a/src/control-stream/shared-read-barrier.ts
+++ b/src/control-stream/shared-read-barrier.ts
@@ -1,13 +1,14 @@
 /**
- * One read barrier for all that wait for one. A barrier that has
- * begun proves nothing to who comes later, so late comers share the next.
+ * Shares read barriers between concurrent callers. A barrier that has already
+ * begun proves nothing about commits made since, so callers that arrive
+ * meanwhile share the next one.
  */
 import type { ReplicatedLog } from '../consensus/replicated-log.js';
 import type { Clock } from '../seams/clock.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
 import { PROOF_TIMEOUT_MS } from './stream-timing.js';
 
-/** Barriers of one controller. */
+/** Runs the read barriers of one controller, one at a time. */
 export class SharedReadBarrier {
   private running: Promise<boolean> | undefined;
   private next: Promise<boolean> | undefined;
@@ -16,11 +17,14 @@
     private readonly log: Pick<ReplicatedLog, 'readBarrier'>,
     private readonly clock: Clock,
     private readonly faults: ControlStreamFaults,
-    /** Until a barrier counts as failed. Milliseconds. */
+    /** Time after which a barrier counts as failed. Milliseconds. */
     private readonly timeoutMs = PROOF_TIMEOUT_MS,
   ) {}
 
-  /** Whether everything committed before the call is now applied here. */
+  /**
+   * Resolves with whether everything committed before the call is now applied
+   * here; false if the barrier fails or times out. Never rejects.
+   */
   pass(): Promise<boolean> {
     if (this.faults.skipFreshnessProof === true) return Promise.resolve(true);
     if (this.running === undefined) return this.begin();
--- a/src/control-stream/snapshot-assembler.ts
+++ b/src/control-stream/snapshot-assembler.ts
@@ -1,18 +1,18 @@
-/** Puts the chunks of a configuration together, within a bound. */
+/** Assembles the chunks of a configuration, up to a size limit. */
 import { MalformedMessageError } from '../protocol/malformed-message-error.js';
 import type { ConfigurationState } from '../settings/configuration-state.js';
 import type { SnapshotBeginMessage, SnapshotChunkMessage } from './stream-messages.js';
 
-/** Largest configuration a daemon takes. Bytes of JSON. */
+/** Largest configuration that a daemon accepts. Bytes of JSON. */
 export const MAXIMUM_CONFIGURATION_BYTES = 64 * 1024 * 1024;
 
-/** A configuration received in full. */
+/** A completely received configuration and the hash that its source announced. */
 export interface AssembledSnapshot {
   readonly state: ConfigurationState;
   readonly stateHash: string;
 }
 
-/** Collects one snapshot at a time. */
+/** Assembles one snapshot at a time; a new announcement discards an incomplete one. */
 export class SnapshotAssembler {
   private announced: SnapshotBeginMessage | undefined;
   private chunks: Uint8Array[] = [];
@@ -24,7 +24,7 @@
   begin(message: SnapshotBeginMessage): void {
     const { totalBytes } = message;
     if (totalBytes < 1 || totalBytes > MAXIMUM_CONFIGURATION_BYTES) {
-      throw this.malformed(`a configuration of ${totalBytes} bytes`);
+      throw this.malformed(`a configuration of ${totalBytes} bytes is outside the allowed size`);
     }
     this.announced = message;
     this.chunks = [];
@@ -32,16 +32,19 @@
   }
 
   /**
-   * Adds a chunk; the configuration once it is whole.
+   * Adds a chunk; returns the configuration once it is complete.
    *
-   * @throws MalformedMessageError when the chunk was not announced or is no JSON.
+   * @throws MalformedMessageError when no snapshot was announced, when there are more bytes than
+   * announced, or when the text is not a configuration of the announced revision.
    */
   add(message: SnapshotChunkMessage): AssembledSnapshot | undefined {
     const { announced } = this;
-    if (announced === undefined) throw this.malformed('a chunk without an announcement');
+    if (announced === undefined)
+      throw this.malformed('expected a snapshot announcement before its chunks');
     this.chunks.push(message.bytes);
     this.receivedBytes += message.bytes.length;
-    if (this.receivedBytes > announced.totalBytes) throw this.malformed('too many bytes');
+    if (this.receivedBytes > announced.totalBytes)
+      throw this.malformed('received more bytes than the snapshot announced');
     if (this.receivedBytes < announced.totalBytes) return undefined;
     this.announced = undefined;
     const text = Buffer.concat(this.chunks).toString('utf8');
@@ -54,10 +57,10 @@
     try {
       state = JSON.parse(text) as Partial<ConfigurationState> | null;
     } catch (error) {
-      throw this.malformed('not JSON', error);
+      throw this.malformed('the snapshot is not JSON', error);
     }
     if (state?.revision !== revision || !state.regions || !state.services || !state.overrides) {
-      throw this.malformed('not a configuration of the announced revision');
+      throw this.malformed('the snapshot is not a configuration of the announced revision');
     }
     return state as ConfigurationState;
   }
--- a/src/control-stream/source-link.ts
+++ b/src/control-stream/source-link.ts
@@ -1,6 +1,6 @@
 /**
- * A connection of a daemon with one controller: opened, watched, and ended for
- * one stated reason. What passes over it is the business of its owner.
+ * A daemon's connection to one controller. The link opens it, watches it and
+ * ends it for one recorded reason; its owner handles the messages.
  */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
 import { dial } from '../protocol/dial.js';
@@ -14,7 +14,7 @@
 import { STREAM_CODEC, type StreamMessage, type SubscribeMessage } from './stream-messages.js';
 import { CONNECT_TIMEOUT_MS, WATCH_INTERVAL_MS } from './stream-timing.js';
 
-/** Used for one connection. */
+/** Carries one connection; cannot be reused. */
 export class SourceLink {
   readonly watch: SourceWatch;
   private connection: MessageConnection | undefined;
@@ -25,13 +25,13 @@
   constructor(
     private readonly context: SessionContext,
     readonly endpoint: ControllerEndpoint,
-    /** Until then a source without a quorum is not left. Clock reading. */
+    /** Clock reading until which a stale or behind source is tolerated. Milliseconds. */
     staleUntil: number,
   ) {
     this.watch = new SourceWatch(context.environment.clock.now(), staleUntil);
   }
 
-  /** What the end is due to, where there is more to say than its reason. */
+  /** Message of the error that ended the connection, if there was one. */
   get detail(): string | undefined {
     return this.cause instanceof Error ? this.cause.message : undefined;
   }
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Connects, subscribes, and hands each message to `take` until either side
-   * ends the connection. Resolves with why it ended; never rejects.
+   * Connects, subscribes and passes each message to `handle` until either side
+   * ends the connection. Resolves with the reason for the end; never rejects.
    */
   async run(
     subscription: SubscribeMessage,
@@ -63,7 +63,7 @@
     return this.end('lost');
   }
 
-  /** Ends the connection; the first reason stands. */
+  /** Ends the connection. The first call determines the reason, which each call returns. */
   end(reason: SessionEnd, cause?: unknown): SessionEnd {
     if (this.reason === undefined) this.cause = cause;
     this.reason ??= reason;
@@ -72,7 +72,7 @@
     return this.reason;
   }
 
-  /** Sends if it can; a broken connection shows itself to the receiving task. */
+  /** Sends a message if the connection is open; never rejects. */
   async send(message: StreamMessage): Promise<void> {
     try {
       await this.connection?.send(STREAM_CODEC.encode(message));
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Waits; returns whether the connection still stands afterwards. */
+  /** Sleeps; resolves with false if the link is ended in the meantime. */
   async pause(milliseconds: number): Promise<boolean> {
     try {
       await this.context.environment.clock.sleep(milliseconds, this.endSignal.signal);
--- a/src/control-stream/source-probe.ts
+++ b/src/control-stream/source-probe.ts
@@ -1,11 +1,11 @@
-/** Looks whether a controller is healthy for a while, without following it. */
+/** Checks whether a controller stays healthy for a period, without following it. */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
 import type { SessionContext } from './session-context.js';
 import { SourceLink } from './source-link.js';
 import type { StreamMessage } from './stream-messages.js';
 import { RETURN_AFTER_MS } from './stream-timing.js';
 
-/** Used once. */
+/** Runs one probe; cannot be reused. */
 export class SourceProbe {
   private readonly link: SourceLink;
   private healthy = false;
@@ -17,7 +17,10 @@
     this.link = new SourceLink(context, endpoint, Number.NEGATIVE_INFINITY);
   }
 
-  /** Whether the controller was reached, in time and with a quorum for all of `RETURN_AFTER_MS`. */
+  /**
+   * Resolves with whether the controller was connected, up to date and in
+   * contact with a quorum for all of `RETURN_AFTER_MS`.
+   */
   async run(): Promise<boolean> {
     const { incarnation, zone, version, daemonState } = this.context;
     void this.awaitHealthyPeriod();
--- a/src/control-stream/source-selector.ts
+++ b/src/control-stream/source-selector.ts
@@ -1,13 +1,14 @@
 /**
- * Chooses the controller a daemon follows next: one of its own zone if it can,
- * any other otherwise, each with its own jittered back-off after a failure.
+ * Selects the controller that a daemon follows next: one of its own zone if
+ * possible, otherwise any other. Each has its own jittered back-off after a
+ * failure.
  */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
 import type { RandomSource } from '../seams/random-source.js';
 import type { SessionEnd } from './session-end.js';
 import { INITIAL_BACK_OFF_MS, MAXIMUM_BACK_OFF_MS, RETURN_AFTER_MS } from './stream-timing.js';
 
-/** Where to connect, when, and whether a stale source is better than none. */
+/** The controller to connect to next, after which wait, and whether a stale one is tolerated. */
 export interface SourceChoice {
   readonly endpoint: ControllerEndpoint;
   readonly waitMs: number;
@@ -30,7 +31,7 @@
   return shuffled;
 }
 
-/** Keeps the record of one daemon's controllers. */
+/** Tracks the failures and back-off of one daemon's controllers. */
 export class SourceSelector {
   private readonly candidates: readonly Candidate[];
 
@@ -41,7 +42,7 @@
   ) {
     const own = endpoints.filter((endpoint) => endpoint.zone === zone);
     const others = endpoints.filter((endpoint) => endpoint.zone !== zone);
-    // Shuffled, so that the daemons of a zone spread over its controllers.
+    // Shuffling spreads the daemons of a zone over its controllers.
     this.candidates = [...shuffle(own, random), ...shuffle(others, random)].map((endpoint) => ({
       endpoint,
       failures: 0,
@@ -50,7 +51,7 @@
     }));
   }
 
-  /** Controllers a daemon that follows `endpoint` would rather follow. */
+  /** The controllers of the daemon's own zone; empty if `endpoint` is one of them. */
   preferredOver(endpoint: ControllerEndpoint): ControllerEndpoint[] {
     if (endpoint.zone === this.zone) return [];
     return this.candidates
@@ -58,7 +59,12 @@
       .filter((other) => other.zone === this.zone);
   }
 
-  /** `holdsConfiguration`: only then is a stale source better than none. */
+  /**
+   * Selects the first controller that is not in back-off. If all are, selects
+   * one that lacked a quorum, provided that the daemon `holdsConfiguration`
+   * (only then is a stale source better than none), otherwise the one whose
+   * back-off ends first.
+   */
   next(now: number, holdsConfiguration: boolean): SourceChoice {
     const ready = this.candidates.find((candidate) => candidate.retryAt <= now);
     if (ready !== undefined) {
@@ -74,19 +80,19 @@
     return { endpoint: soonest.endpoint, waitMs: soonest.retryAt - now, tolerateStale: false };
   }
 
-  /** Notes how a session of `durationMs` ended. */
+  /** Records why a session ended that lasted `durationMs`. */
   record(endpoint: ControllerEndpoint, end: SessionEnd, durationMs: number, now: number): void {
     const candidate = this.candidateOf(endpoint);
     if (candidate === undefined) return;
     candidate.lastEnd = end;
     if (end === 'superseded' || end === 'returned') return;
-    // A session that held for a while shows that the earlier failures are over.
+    // After a session this long, earlier failures no longer count.
     const failuresBefore = durationMs > RETURN_AFTER_MS ? 0 : candidate.failures;
     candidate.failures = failuresBefore + 1;
     candidate.retryAt = now + this.backOff(candidate.failures);
   }
 
-  /** The endpoint has shown itself healthy: it is tried first again. */
+  /** Resets the back-off of a controller that a probe found healthy. */
   recordHealthy(endpoint: ControllerEndpoint): void {
     const candidate = this.candidateOf(endpoint);
     if (candidate === undefined) return;
@@ -95,7 +101,10 @@
     candidate.lastEnd = undefined;
   }
 
-  /** Full jitter above one half, so that daemons that lost a source together come back spread. */
+  /**
+   * Jitter between half and the full delay spreads daemons that lost the same
+   * source. Milliseconds.
+   */
   private backOff(failures: number): number {
     const longest = Math.min(MAXIMUM_BACK_OFF_MS, INITIAL_BACK_OFF_MS * 2 ** (failures - 1));
     return longest * (0.5 + this.random.nextFloat() / 2);
--- a/src/control-stream/source-session.ts
+++ b/src/control-stream/source-session.ts
@@ -1,6 +1,6 @@
 /**
- * One session of a daemon with one controller: connect, handshake, subscribe,
- * then take what arrives until either side ends it.
+ * One session of a daemon with one controller: connects, performs the handshake,
+ * subscribes, then handles messages until either side ends the session.
  */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
 import type { ReplicaReport } from '../model/replica-report.js';
@@ -24,10 +24,10 @@
 } from './stream-messages.js';
 import { REPORT_INTERVAL_MS, STALE_STAY_MS } from './stream-timing.js';
 
-/** Longest time a goodbye may take to leave. Milliseconds. */
+/** How long to wait for a goodbye to be sent. Milliseconds. */
 const GOODBYE_TIMEOUT_MS = 500;
 
-/** Runs once. */
+/** Runs once; cannot be reused. */
 export class SourceSession {
   private readonly link: SourceLink;
   private readonly assembler: SnapshotAssembler;
@@ -45,17 +45,17 @@
     this.isAwaitingSnapshot = context.daemonState.held.revision === NO_REVISION;
   }
 
-  /** Whether the controller took the daemon on. */
+  /** Whether the controller has accepted the subscription. */
   get wasWelcomed(): boolean {
     return this.link.watch.isWelcomed;
   }
 
-  /** More about the end than its reason says, if there is more. */
+  /** Message of the error that ended the session, if there was one. */
   get detail(): string | undefined {
     return this.link.detail;
   }
 
-  /** Resolves when the session is over; never rejects. */
+  /** Resolves with the reason when the session has ended; never rejects. */
   run(): Promise<SessionEnd> {
     const { incarnation, zone, version, daemonState } = this.context;
     const heldRevision = daemonState.held.revision;
@@ -66,10 +66,13 @@
     );
   }
 
-  /** Tells the controller before ending, so that it does not take the daemon for lost. */
+  /**
+   * Sends a goodbye and ends the session, so that the controller does not
+   * consider the daemon lost.
+   */
   async leave(reason: 'closed' | 'returned'): Promise<void> {
     const goodbye = reason === 'closed' ? 'stopping' : 'moved';
-    // Not awaited for long: a controller that reads nothing must not hold the daemon.
+    // The wait is bounded: a controller that does not read must not block the daemon.
     await Promise.race([
       this.link.send({ kind: 'goodbye', reason: goodbye }),
       this.link.pause(GOODBYE_TIMEOUT_MS),
@@ -77,7 +80,7 @@
     this.link.end(reason);
   }
 
-  /** Tells the controller which revision is in force. */
+  /** Reports the revision in force to the controller; the result of sending is ignored. */
   reportRevision(): void {
     this.context.reportSequence += 1;
     const { reportSequence: sequence, daemonState } = this.context;
@@ -105,7 +108,7 @@
       case 'goodbye':
         return this.handleGoodbye(message);
       default:
-        throw this.link.malformed(`a ${message.kind} message from a controller`);
+        throw this.link.malformed(`unexpected ${message.kind} message from a controller`);
     }
   }
 
@@ -116,8 +119,8 @@
       this.link.end('superseded');
       return;
     }
-    // A daemon that holds nothing may have held more before its restart than
-    // this source ever saw; only a source proven fresh excludes that.
+    // A daemon without a configuration may have had a higher revision before its
+    // restart than this source has ever held; only a proven fresh source rules that out.
     if (!provenFresh && context.daemonState.held.revision === NO_REVISION) {
       this.link.end('cut_off');
       return;
@@ -137,16 +140,16 @@
     const snapshot = this.assembler.add(message);
     if (snapshot === undefined) return;
     if (!this.link.watch.isWelcomed)
-      throw this.link.malformed('a configuration before the welcome');
+      throw this.link.malformed('expected a welcome before the configuration');
     this.isAwaitingSnapshot = false;
     this.link.watch.recordSnapshotEnd(this.context.environment.clock.now());
     if (!this.context.daemonState.applySnapshot(snapshot))
-      throw this.link.malformed('not the hashed content');
+      throw this.link.malformed('the configuration does not match its hash');
     this.reportRevision();
   }
 
   private handleDelta(message: DeltaMessage): void {
-    // What arrives while a snapshot is under way is contained in it or follows it.
+    // The pending snapshot contains every change that arrives before it; later ones follow it.
     if (this.isAwaitingSnapshot) return;
     const change = this.parseChange(message);
     const outcome = this.context.daemonState.applyDelta({ change, stateHash: message.stateHash });
@@ -159,10 +162,10 @@
     try {
       change = JSON.parse(Buffer.from(message.change).toString('utf8')) as AcceptedChange;
     } catch (error) {
-      throw this.link.malformed('a change that is not JSON', error);
+      throw this.link.malformed('the change is not JSON', error);
     }
     if (change?.revision !== message.revision || !Array.isArray(change.operations)) {
-      throw this.link.malformed('not a change of the stated revision');
+      throw this.link.malformed('the change is not one of the stated revision');
     }
     return change;
   }
@@ -185,7 +188,7 @@
 
   private handleReplicaReport(message: ReplicaReportMessage): void {
     const report = fromReplicaReportMessage(message);
-    if (report === undefined) throw this.link.malformed('not a sign of a replica');
+    if (report === undefined) throw this.link.malformed('expected a valid replica report');
     this.context.daemonState.applyReplicaReport(report);
   }
 
--- a/src/control-stream/source-watch.ts
+++ b/src/control-stream/source-watch.ts
@@ -1,15 +1,15 @@
-/** Decides when a daemon has to leave the controller that it follows. */
+/** Decides when a daemon must leave the controller that it follows. */
 import type { SessionEnd } from './session-end.js';
 import type { HeartbeatMessage } from './stream-messages.js';
 import { QUORUM_LEASE_MS, SOURCE_SILENCE_MS, WELCOME_TIMEOUT_MS } from './stream-timing.js';
 import { TransitDelay } from './transit-delay.js';
 
-/** What one session saw of its source. Times are of the daemon's own clock. */
+/** Observations of the source in one session. All times are readings of the daemon's own clock. */
 export class SourceWatch {
   private lastReceivedAt: number;
   private quorumAt: number;
   private openedAt: number;
-  /** When the source proved itself fresh; a heartbeat written before may not know of it. */
+  /** When the source proved itself fresh; heartbeats written earlier do not reflect the proof. */
   private provenAt = Number.NEGATIVE_INFINITY;
   private behindSince: number | undefined;
   private receivingSnapshot = false;
@@ -17,7 +17,7 @@
 
   constructor(
     now: number,
-    /** Until then a source without a quorum is not left. */
+    /** Clock reading until which a source that is stale or behind is tolerated. */
     private readonly staleUntil: number,
   ) {
     this.lastReceivedAt = now;
@@ -29,7 +29,7 @@
     return this.transitDelay !== undefined;
   }
 
-  /** The handshake is done. */
+  /** Must be called when the handshake is complete. */
   recordOpened(now: number): void {
     this.lastReceivedAt = now;
     this.quorumAt = now;
@@ -37,19 +37,19 @@
   }
 
   recordWelcome(sourceTime: number, provenFresh: boolean, now: number): void {
-    // The proof began after the subscription, which followed the opening.
+    // The proof began after the subscription, which was sent after the connection opened.
     if (provenFresh) this.provenAt = this.openedAt;
     this.transitDelay = new TransitDelay(sourceTime, now);
   }
 
-  /** Anything arrived. */
+  /** Must be called for each received frame. */
   recordReceived(now: number): void {
     this.lastReceivedAt = now;
   }
 
   /**
-   * A configuration is under way. Heartbeats may queue behind it, so that only
-   * silence counts until it has arrived.
+   * Must be called when a snapshot is announced. Heartbeats may queue behind its
+   * chunks, so only silence is a reason to leave until it has arrived.
    */
   recordSnapshotBegin(): void {
     this.receivingSnapshot = true;
@@ -60,20 +60,20 @@
     this.quorumAt = now;
   }
 
-  /** Returns when a quorum last confirmed that the source lacked nothing. */
+  /** Returns the clock reading at which a quorum last confirmed that the source was up to date. */
   recordHeartbeat({ sinceQuorumMs, sourceTime }: HeartbeatMessage, now: number): number {
     const delay = this.transitDelay?.delayOf(sourceTime, now) ?? 0;
     this.quorumAt = Math.max(this.provenAt, now - delay - sinceQuorumMs);
     return this.quorumAt;
   }
 
-  /** Compares the daemon's revision with its source's. */
+  /** Tracks since when the source has been at a lower revision than the daemon. */
   compareRevisions(heldRevision: number, committedRevision: number, now: number): void {
     if (heldRevision <= committedRevision) this.behindSince = undefined;
     else this.behindSince ??= now;
   }
 
-  /** Why to leave now, if at all. */
+  /** The reason to leave the source at `now`, or undefined to stay. */
   reasonToLeave(now: number): SessionEnd | undefined {
     const silenceTimeoutMs = this.isWelcomed ? SOURCE_SILENCE_MS : WELCOME_TIMEOUT_MS;
     if (now - this.lastReceivedAt > silenceTimeoutMs) return 'silent';
--- a/src/control-stream/state-hash.ts
+++ b/src/control-stream/state-hash.ts
@@ -1,7 +1,7 @@
 /**
- * A hash of a whole configuration, equal exactly where the content is equal.
- * Parts are immutable and hashed once each, so that the hash after a change
- * costs what the change touched.
+ * Hashes a whole configuration, so that equal content has an equal hash. Parts
+ * are immutable and each is hashed once, so that hashing after a change costs
+ * only the parts that the change replaced.
  */
 import { xxh64 } from '@node-rs/xxhash';
 import type { ConfigurationState } from '../settings/configuration-state.js';
@@ -14,7 +14,10 @@
   return xxh64(text).toString(16).padStart(HASH_DIGITS, '0');
 }
 
-/** Rebuilds objects with their keys in order, since equal states may list them differently. */
+/**
+ * Rebuilds objects with sorted keys, because equal states may list their keys
+ * in different orders.
+ */
 function sortKeys(_key: string, value: unknown): unknown {
   if (value === null || typeof value !== 'object' || Array.isArray(value)) return value;
   const entries = Object.entries(value);
@@ -37,7 +40,7 @@
   return hashText(lines.join('\n'));
 }
 
-/** 16 hexadecimal digits. Guards against faults, not against forgery. */
+/** Returns 16 hexadecimal digits. Detects faults; not resistant to forgery. */
 export function hashConfiguration(state: ConfigurationState): string {
   const { revision, regions, services, overrides } = state;
   const parts = [regions, services, overrides].map((part) => hashParts(part));
--- a/src/control-stream/stream-broadcast.ts
+++ b/src/control-stream/stream-broadcast.ts
@@ -1,4 +1,7 @@
-/** What all subscribers of a controller are sent, encoded once, and the signal that there is more. */
+/**
+ * Frames that all subscribers of a controller share, each encoded once, and the
+ * notification of new ones.
+ */
 import { Notifier } from '../consensus/notifier.js';
 import type { ReplicatedLogStatus } from '../consensus/replicated-log.js';
 import type { Clock, Timer } from '../seams/clock.js';
@@ -10,20 +13,20 @@
 import { STREAM_CODEC } from './stream-messages.js';
 import { HEARTBEAT_INTERVAL_MS } from './stream-timing.js';
 
-/** Signs that come within this time go into one frame. Milliseconds. */
+/** Replica reports recorded within this time are sent in one frame. Milliseconds. */
 const REPLICA_REPORT_BATCH_MS = 20;
 
-/** How far one subscriber has been served. */
+/** How much of the broadcast one subscriber has been sent. */
 export interface BroadcastPosition {
   heldRevision: number;
   replicaReportPosition: number;
   heartbeatNumber: number;
 }
 
-/** Shared by the tasks of all subscribers. */
+/** Serves the sessions of all subscribers of one controller. */
 export class StreamBroadcast {
   readonly history: EncodedHistory;
-  /** Notified whenever there is something new to send. */
+  /** Notified whenever there is a new frame to send. */
   readonly updates: Notifier;
   private readonly appliedAge: AppliedAge;
   private heartbeatFrame: Uint8Array = new Uint8Array();
@@ -43,12 +46,12 @@
     this.history = new EncodedHistory(feed, () => this.updates.notify(), options);
   }
 
-  /** How long ago this controller's state was known to be the agreed one. Milliseconds. */
+  /** How long ago this controller's state was last known to be up to date. Milliseconds. */
   get stateAge(): number {
     return this.appliedAge.read(this.readStatus(), this.clock.now());
   }
 
-  /** Writes heartbeats until `signal` aborts. */
+  /** Encodes a heartbeat at each interval until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.writeHeartbeat();
@@ -57,8 +60,9 @@
   }
 
   /**
-   * Everything a subscriber has not been sent, in the order in which it must
-   * arrive: a heartbeat follows the changes that it tells of. Moves `position` on.
+   * Returns all frames that a subscriber has not been sent, in the order in which
+   * they must arrive: a heartbeat follows the changes whose revision it states.
+   * Advances `position`.
    */
   takeFrames(position: BroadcastPosition, zone: string): Uint8Array[] {
     const frames = [...this.history.framesAfter(position.heldRevision)];
@@ -70,14 +74,20 @@
     return frames;
   }
 
-  /** The newest heartbeat, unless the subscriber was sent it. Moves `position` on. */
+  /**
+   * Returns the newest heartbeat unless the subscriber was already sent it.
+   * Advances `position`.
+   */
   takeHeartbeat(position: BroadcastPosition): Uint8Array[] {
     if (position.heartbeatNumber === this.heartbeatNumber) return [];
     position.heartbeatNumber = this.heartbeatNumber;
     return [this.heartbeatFrame];
   }
 
-  /** A sign was recorded: subscribers are woken soon, for all that come until then. */
+  /**
+   * Must be called after a replica report was recorded; notifies subscribers
+   * once per batch interval.
+   */
   notifyAfterBatch(): void {
     this.batchTimer ??= this.clock.setTimer(REPLICA_REPORT_BATCH_MS, () => {
       this.batchTimer = undefined;
--- a/src/control-stream/stream-messages.ts
+++ b/src/control-stream/stream-messages.ts
@@ -1,26 +1,32 @@
-/** Messages of the control stream, from controllers to daemons and back. */
+/** Messages of the control stream between controllers and daemons. */
 import { MessageCodec, type MessageField } from '../protocol/message-codec.js';
 
 /** First message of a daemon. */
 export interface SubscribeMessage {
   readonly kind: 'subscribe';
-  /** Larger than that of any earlier process of the same name. */
+  /**
+   * Incarnation of the daemon's process; larger than that of any earlier
+   * process of the same name.
+   */
   readonly incarnation: number;
   readonly zone: string;
-  /** Of the daemon's software. */
+  /** Version of the daemon's software. */
   readonly version: string;
   /** Revision in force at the daemon; {@link NO_REVISION} when none is. */
   readonly heldRevision: number;
-  /** Only heartbeats are wanted: the daemon looks whether this source is healthy. */
+  /** Whether the daemon only probes the source's health, and is to be sent heartbeats only. */
   readonly probe: boolean;
 }
 
 /** First message of a controller. */
 export interface WelcomeMessage {
   readonly kind: 'welcome';
-  /** Whether a quorum confirmed, after the subscription arrived, that nothing newer is committed. */
+  /**
+   * Whether a quorum confirmed, after the subscription arrived, that nothing
+   * newer is committed.
+   */
   readonly provenFresh: boolean;
-  /** Largest incarnation that any process of the daemon's name has shown. */
+  /** Largest incarnation that any process of the daemon's name has reported. */
   readonly knownIncarnation: number;
   /** Clock reading of the controller, as in {@link HeartbeatMessage}. Milliseconds. */
   readonly sourceTime: number;
@@ -34,7 +40,7 @@
   readonly totalBytes: number;
 }
 
-/** The next part of the configuration, as JSON text in UTF-8. */
+/** The next part of the configuration, which is JSON text in UTF-8. */
 export interface SnapshotChunkMessage {
   readonly kind: 'snapshotChunk';
   readonly bytes: Uint8Array;
@@ -44,7 +50,7 @@
 export interface DeltaMessage {
   readonly kind: 'delta';
   readonly revision: number;
-  /** Of the configuration after the change. */
+  /** Hash of the configuration after the change. */
   readonly stateHash: string;
   /** An `AcceptedChange`, as JSON text in UTF-8. */
   readonly change: Uint8Array;
@@ -55,15 +61,18 @@
   readonly kind: 'heartbeat';
   /** Highest revision the controller knows to be committed. */
   readonly committedRevision: number;
-  /** Of the configuration at that revision. */
+  /** Hash of the configuration at that revision. */
   readonly stateHash: string;
-  /** How long ago a quorum confirmed that the controller lacked nothing. Milliseconds. */
+  /** How long ago a quorum confirmed that the controller was up to date. Milliseconds. */
   readonly sinceQuorumMs: number;
-  /** Clock reading of the controller when it wrote this; tells a delayed message. Milliseconds. */
+  /**
+   * Clock reading of the controller at the time of writing, from which delays
+   * are detected. Milliseconds.
+   */
   readonly sourceTime: number;
 }
 
-/** A sign about a replica, in either direction. */
+/** A report on a replica's state, in either direction. */
 export interface ReplicaReportMessage {
   readonly kind: 'sign';
   readonly replicaId: string;
@@ -73,10 +82,10 @@
   readonly observedBy: string;
 }
 
-/** Revision in force at the daemon; sent at each change and at a fixed interval. */
+/** Reports the revision in force at the daemon, at each change and at a fixed interval. */
 export interface RevisionReportMessage {
   readonly kind: 'report';
-  /** Grows with each report of an incarnation, whichever controller it goes to. */
+  /** Increases with each report within an incarnation, across all controllers. */
   readonly sequence: number;
   readonly revision: number;
 }
@@ -84,11 +93,11 @@
 /** The daemon asks for the whole configuration. */
 export interface ResyncMessage {
   readonly kind: 'resync';
-  /** A `ResyncReason`, for the counter. */
+  /** A `ResyncReason`; used as a label of the counter only. */
   readonly reason: string;
 }
 
-/** The sender is about to stop, or has no use for the stream; in either direction. */
+/** The sender is about to stop or to leave the stream; in either direction. */
 export interface GoodbyeMessage {
   readonly kind: 'goodbye';
   /** A `GoodbyeReason`. */
@@ -107,16 +116,16 @@
   | ResyncMessage
   | GoodbyeMessage;
 
-/** Stands for "no revision yet". */
+/** Value of a revision field when no revision is in force. */
 export const NO_REVISION = -1;
 
-/** Why a side ends the stream politely. */
+/** Why a side announces the end of the stream. */
 export type GoodbyeReason =
-  /** Planned stop of the sender. */
+  /** The sender makes a planned stop. */
   | 'stopping'
-  /** The controller could not prove that what it holds is fresh. */
+  /** The controller could not prove that its configuration is fresh. */
   | 'not_proven_fresh'
-  /** The daemon follows another controller. */
+  /** The daemon moves to another controller. */
   | 'moved';
 
 /** Why a daemon asks for the whole configuration. */
--- a/src/control-stream/subscriber-session.ts
+++ b/src/control-stream/subscriber-session.ts
@@ -1,4 +1,4 @@
-/** One daemon's stream at the controller it follows: one task sends, one receives. */
+/** One daemon's stream at the controller that it follows: one task sends, one receives. */
 import { MalformedMessageError } from '../protocol/malformed-message-error.js';
 import { isProtocolViolation } from '../protocol/protocol-violation.js';
 import type { Clock } from '../seams/clock.js';
@@ -22,24 +22,24 @@
 } from './stream-messages.js';
 import { SUBSCRIBER_SILENCE_MS } from './stream-timing.js';
 
-/** Longest frame taken from a daemon: nothing it says is long. Bytes. */
+/** Largest frame accepted from a daemon; all messages of daemons are short. Bytes. */
 export const MAXIMUM_SUBSCRIBER_FRAME_BYTES = 64 * 1024;
 
-/** What the sessions of one controller share. */
+/** State and services that all sessions of one controller share. */
 export interface SubscriberContext {
   readonly clock: Clock;
-  /** Of the controller. */
+  /** Member id of the controller. */
   readonly memberId: string;
   readonly broadcast: StreamBroadcast;
   readonly barrier: SharedReadBarrier;
   readonly replicaReports: ReplicaReportTable;
   readonly daemons: DaemonDirectory;
   readonly metrics: ServerMetrics;
-  /** Called when there is something to pass on to other controllers. */
+  /** Called when there is an update to forward to other controllers. */
   readonly onUpdate: () => void;
 }
 
-/** Runs once. */
+/** Runs once; cannot be reused. */
 export class SubscriberSession {
   private readonly position: BroadcastPosition = {
     heldRevision: NO_REVISION,
@@ -54,15 +54,16 @@
   constructor(
     private readonly context: SubscriberContext,
     private readonly connection: MessageConnection,
-    /** Proven in the handshake. */
+    /** The daemon's name as authenticated in the handshake. */
     private readonly daemonName: string,
   ) {
     this.guard = new SilenceGuard(context.clock, connection, SUBSCRIBER_SILENCE_MS);
   }
 
-  /** Resolves once the stream is over; never rejects. */
+  /** Resolves when the stream has ended; never rejects. */
   async run(): Promise<void> {
-    // Also ends the stream of a daemon that reads nothing: it reports nothing either.
+    // The guard also ends the stream of a daemon that does not read, since it
+    // sends no reports either.
     void this.guard.run();
     let reason = 'closed';
     try {
@@ -77,12 +78,12 @@
     this.context.metrics.streamsEnded.inc({ reason });
   }
 
-  /** Tells the daemon to move elsewhere; it closes the connection. */
+  /** Asks the daemon to disconnect; the daemon closes the connection. Never rejects. */
   async sendGoodbye(reason: GoodbyeReason): Promise<void> {
     try {
       await this.connection.send(STREAM_CODEC.encode({ kind: 'goodbye', reason }));
     } catch {
-      // Gone already.
+      // The connection is already closed.
     }
   }
 
@@ -96,7 +97,7 @@
     const frame = await this.receiveFrame();
     if (frame === undefined) return undefined;
     const message = STREAM_CODEC.decode(frame, this.daemonName);
-    if (message.kind !== 'subscribe') throw this.malformed('no subscription');
+    if (message.kind !== 'subscribe') throw this.malformed('expected a subscribe message first');
     return message;
   }
 
@@ -116,7 +117,7 @@
     if (heldRevision === NO_REVISION && !provenFresh) return this.sendGoodbye('not_proven_fresh');
     this.position.heldRevision = heldRevision;
     if (!subscription.probe) this.register(subscription);
-    // Whichever ends first ends the stream; closing the connection ends the other.
+    // Whichever task ends first ends the stream; closing the connection then ends the other.
     await Promise.race([this.sendUpdates(subscription, broadcast), this.receiveAll(zone)]);
   }
 
@@ -168,7 +169,7 @@
         this.context.broadcast.updates.notify();
         return;
       default:
-        throw this.malformed(`a ${message.kind} message from a daemon`);
+        throw this.malformed(`unexpected ${message.kind} message from a daemon`);
     }
   }
 
@@ -200,7 +201,7 @@
 
   private handleReplicaReport(message: ReplicaReportMessage, zone: string): void {
     const report = fromReplicaReportMessage(message);
-    if (report === undefined) throw this.malformed('not a sign of a replica');
+    if (report === undefined) throw this.malformed('expected a valid replica report');
     const scoped = { scope: scopeOf(report, zone), report };
     if (!this.context.replicaReports.record(scoped)) return;
     this.context.broadcast.notifyAfterBatch();
@@ -216,7 +217,7 @@
     const frame = await this.connection.receive();
     this.guard.recordReceived();
     if (frame !== undefined && frame.length > MAXIMUM_SUBSCRIBER_FRAME_BYTES) {
-      throw this.malformed(`a frame of ${frame.length} bytes`);
+      throw this.malformed(`a frame of ${frame.length} bytes exceeds the limit for daemons`);
     }
     return frame;
   }
--- a/src/control-stream/versioned-table.ts
+++ b/src/control-stream/versioned-table.ts
@@ -1,7 +1,7 @@
 /**
- * A table whose readers each remember how far they have read. Every entry
- * carries the position of its last change, so that one table serves any number
- * of readers without a queue for each.
+ * A table whose readers each keep their read position. Every entry has the
+ * position of its last change, so that one table serves any number of readers
+ * without a queue per reader.
  */
 
 /** A value and the position of its last change. */
@@ -11,19 +11,22 @@
   readonly value: V;
 }
 
-/** Superseded changes kept before they are dropped, besides one for each entry. */
-const MAXIMUM_SUPERSEDED_CHANGES = 1_024;
+/** Superseded changes allowed, beyond one per entry, before the log of changes is compacted. */
+const SUPERSEDED_CHANGES_ALLOWANCE = 1_024;
 
-/** Latest value per key. */
+/** Holds the latest value of each key and the order of changes. */
 export class VersionedTable<V> {
-  /** In the order of their positions. */
+  /** Ordered by position. */
   private readonly entries = new Map<string, VersionedEntry<V>>();
-  /** By position, superseded ones among them: a reader looks only at what is new to it. */
+  /**
+   * Ordered by position, including superseded changes; lets a reader visit only
+   * what is new to it.
+   */
   private changes: VersionedEntry<V>[] = [];
   private lastPosition = 0;
 
   constructor(
-    /** Past this many keys the one unchanged for longest is dropped. */
+    /** Above this many keys, the one that has been unchanged for longest is evicted. */
     private readonly maximumEntries: number,
   ) {}
 
@@ -43,12 +46,12 @@
   put(key: string, value: V): void {
     this.lastPosition += 1;
     const entry = { key, position: this.lastPosition, value };
-    // Removing the key first keeps the map ordered by position.
+    // Deleting the key first keeps the map ordered by position.
     this.entries.delete(key);
     this.entries.set(key, entry);
     this.changes.push(entry);
     this.evictOldest();
-    const mustCompact = this.changes.length > 2 * this.entries.size + MAXIMUM_SUPERSEDED_CHANGES;
+    const mustCompact = this.changes.length > 2 * this.entries.size + SUPERSEDED_CHANGES_ALLOWANCE;
     if (mustCompact) this.changes = [...this.entries.values()];
   }
 
@@ -60,7 +63,7 @@
     return [...this.entries.values()].map(({ value }) => value);
   }
 
-  /** Values changed after `position`, oldest change first. */
+  /** Current values that changed after `position`, oldest change first. */
   changedAfter(position: number): V[] {
     const changed: V[] = [];
     for (let index = this.firstChangeAfter(position); index < this.changes.length; index += 1) {
@@ -70,7 +73,7 @@
     return changed;
   }
 
-  /** Index within the changes, by bisection. */
+  /** Index of the first change after `position`, found by binary search. */
   private firstChangeAfter(position: number): number {
     let low = 0;
     let high = this.changes.length;
