--- a/test/control-stream/client-log.test.ts
+++ b/test/control-stream/client-log.test.ts
@@ -14,7 +14,7 @@
   return logger;
 }
 
-it('a daemon says once why it cannot follow a controller, and when it left one', async () => {
+it('a daemon logs once why it cannot follow a controller, and logs when it leaves one', async () => {
   const simulation = new Simulation(SEED);
   const host = simulation.createMachine('controller-1', 'nayoro');
   const controller = await simulation.settle(TestController.start(host));
--- a/test/control-stream/control-stream.test.ts
+++ b/test/control-stream/control-stream.test.ts
@@ -11,8 +11,8 @@
 const RESYNCS = 'driftway_control_stream_resyncs_total';
 
 /**
- * Stated in docs/design/control-stream.md: longest time until a daemon follows
- * another controller after its own fell silent or was cut off.
+ * Longest time, stated in docs/design/control-stream.md, until a daemon follows
+ * another controller after its own fell silent or lost its quorum. Milliseconds.
  */
 const FAILOVER_LIMIT_MS = 7_000;
 
@@ -20,7 +20,7 @@
 let own: TestController;
 let other: TestController;
 
-/** One controller in the daemons' zone, one in another. */
+/** Starts one controller in the daemons' zone and one in another zone. */
 beforeEach(async () => {
   simulation = new Simulation(SEED);
   own = await startController('controller-1', 'asahikawa-a');
@@ -46,7 +46,7 @@
   return host;
 }
 
-/** Kills the process and starts it again on the same machine. */
+/** Kills the daemon's process and starts a new one on the same machine. */
 function restartDaemon(daemon: TestDaemon): TestDaemon {
   daemon.host.restart({ keepDisk: false });
   return new TestDaemon(daemon.host, [own, other]);
@@ -67,7 +67,7 @@
 }
 
 describe('the control stream', () => {
-  it('brings a change to every daemon, in order, whichever controller each follows', async () => {
+  it('delivers changes to every daemon in order, whichever controller it follows', async () => {
     const daemons = [
       startDaemon('router-1'),
       startDaemon('router-2'),
@@ -85,7 +85,7 @@
     expect(daemons[2]?.client.source).toBe('controller-2');
   });
 
-  it('sends a configuration longer than a chunk in several', async () => {
+  it('sends a configuration that is larger than a chunk in several chunks', async () => {
     const small = await startController('controller-3', 'wakkanai', { chunkBytes: 16, changes: 1 });
     small.acceptUpTo(5);
     const host = simulation.createMachine('router-1', 'wakkanai');
@@ -94,7 +94,7 @@
     expect(daemon.client.current()).toEqual(small.machine.current());
   });
 
-  it('leaves a source that falls silent, and returns to its zone once that is healthy', async () => {
+  it('makes a daemon leave a silent source, and return to its zone once that source is healthy', async () => {
     const daemon = await settledDaemon(1);
     own.host.freeze(20_000);
     await simulation.runFor(FAILOVER_LIMIT_MS);
@@ -107,7 +107,7 @@
     expect(daemon.revisions).toEqual([1, 2]);
   });
 
-  it('leaves a source that is cut off from the quorum', async () => {
+  it('makes a daemon leave a source that has lost its quorum', async () => {
     const daemon = await settledDaemon(1);
     own.log.loseQuorum();
     await simulation.runFor(FAILOVER_LIMIT_MS);
@@ -118,7 +118,7 @@
     expect(daemon.revision).toBe(2);
   });
 
-  it('leaves a source that stays behind for one that does not', async () => {
+  it('makes a daemon leave a source that stays behind for one that is up to date', async () => {
     const daemon = await settledDaemon(3);
     own.acceptUpTo(4);
     await simulation.runFor(SETTLE_MS);
@@ -132,7 +132,7 @@
     expect(await daemon.counter(SESSIONS_ENDED, 'behind')).toBe(1);
   });
 
-  it('leaves at once a source that stops as planned', async () => {
+  it('makes a daemon leave at once when its source makes a planned stop', async () => {
     const daemon = await settledDaemon(1);
     await simulation.settle(own.server.stop());
     await simulation.runFor(SETTLE_MS);
@@ -141,8 +141,8 @@
   });
 });
 
-describe('a revision in force', () => {
-  it('never falls, also where the only source left holds less', async () => {
+describe('the revision in force', () => {
+  it('never decreases, even if the only remaining source has a lower one', async () => {
     const daemon = await settledDaemon(3);
     own.acceptUpTo(5);
     await simulation.runFor(SETTLE_MS);
@@ -156,7 +156,7 @@
     expect(daemon.fresh).toBe(true);
   });
 
-  it('is seen to fall in a build that follows whatever its source holds', async () => {
+  it('decreases when the fault that applies lower revisions is enabled', async () => {
     acceptEverywhere(3);
     own.acceptUpTo(5);
     const host = simulation.createMachine('router-1', 'asahikawa-a');
@@ -167,7 +167,7 @@
     expect(daemon.revisions).toEqual([5, 3]);
   });
 
-  it('does not fall by a restart of the daemon while only a stale source is there', async () => {
+  it('does not decrease when the daemon restarts while only a stale source is available', async () => {
     const daemon = await settledDaemon(3);
     own.acceptUpTo(5);
     await simulation.runFor(SETTLE_MS);
@@ -183,7 +183,7 @@
     expect(restarted.revisions).toEqual([5]);
   });
 
-  it('stays, and is said to be stale, while no source hears a quorum', async () => {
+  it('is kept and marked as stale while no source has a quorum', async () => {
     const daemon = await settledDaemon(3);
     own.log.loseQuorum();
     other.log.loseQuorum();
@@ -196,7 +196,7 @@
     expect(daemon.fresh).toBe(true);
   });
 
-  it('is replaced by the source of the same number where the contents differ', async () => {
+  it('is replaced by the same revision of the source if its content differs', async () => {
     acceptEverywhere(1);
     own.acceptDivergent(1_000);
     other.acceptDivergent(2_000);
--- a/test/control-stream/controller-fixture.ts
+++ b/test/control-stream/controller-fixture.ts
@@ -1,7 +1,7 @@
 /**
- * A controller's stream in the simulation, over a log whose quorum the test
- * takes away and gives back. What is accepted at one controller reaches the
- * others when the test says so.
+ * A simulated controller's end of the control stream, without consensus. The
+ * test removes and restores the quorum of its log, and applies each change to
+ * every controller that is to have it.
  */
 import { Registry } from 'prom-client';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
@@ -21,7 +21,7 @@
 export const CLUSTER = { id: 'dohoku', key: 'a-long-random-secret' };
 const MESSAGE_PORT = 7500;
 
-/** The command that makes revision `revision`, with a value told apart from any other's. */
+/** The command that produces `revision`; by default its value is unique to the revision. */
 export function changeCommand(revision: number, value = revision): Uint8Array {
   return encodeCommand({
     kind: 'change',
@@ -37,10 +37,10 @@
   });
 }
 
-/** A log without peers of its own; the test says whether it hears a quorum. */
+/** A log without peers; the test determines whether it has a quorum. */
 class TestLog {
   members: { memberId: string; address: string; voter: boolean }[] = [];
-  /** Whether reads wait for a quorum without end, as they do while a leader is cut off. */
+  /** Whether read barriers never settle, as while the leader is partitioned from the others. */
   readsHang = false;
   private quorumLostAt: number | undefined;
 
@@ -80,7 +80,7 @@
   }
 }
 
-/** One controller without consensus. */
+/** One controller: stream server, exchange and listener over a {@link TestLog}. */
 export class TestController {
   readonly machine: ConfigurationStateMachine;
   readonly log: TestLog;
@@ -116,13 +116,13 @@
     return { memberId: this.host.name, address: this.listener.address, zone: this.host.zone };
   }
 
-  /** Accepts one revision whose content no other controller has. */
+  /** Accepts the next revision with content that differs from the other controllers'. */
   acceptDivergent(value: number): void {
     const revision = this.machine.current().revision + 1;
     this.machine.apply(changeCommand(revision, value), revision);
   }
 
-  /** Accepts revisions up to `revision`. */
+  /** Accepts all missing revisions up to and including `revision`. */
   acceptUpTo(revision: number): void {
     for (let next = this.machine.current().revision + 1; next <= revision; next += 1) {
       this.machine.apply(changeCommand(next), next);
@@ -180,7 +180,7 @@
   }
 }
 
-/** Makes the controllers known to each other. */
+/** Sets the member list of every controller to `controllers`. */
 export function setMembers(controllers: readonly TestController[]): void {
   const members = controllers.map(({ endpoint }) => ({
     memberId: endpoint.memberId,
--- a/test/control-stream/daemon-fixture.ts
+++ b/test/control-stream/daemon-fixture.ts
@@ -1,4 +1,4 @@
-/** A daemon that follows the control stream in the simulation, and what it saw. */
+/** A simulated daemon that follows the control stream and records what it receives. */
 import { Registry } from 'prom-client';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
 import {
@@ -11,10 +11,10 @@
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import { CLUSTER, type TestController } from './controller-fixture.js';
 
-/** One daemon's process. */
+/** One process of a daemon; starts following when constructed. */
 export class TestDaemon {
   readonly client: ControlStreamClient;
-  /** Every revision put in force, in order. */
+  /** Every revision that came into force, in order. */
   readonly revisions: number[] = [];
   readonly replicaReports: ReplicaReport[] = [];
   readonly registry = new Registry();
@@ -46,7 +46,7 @@
     return this.client.freshness().fresh;
   }
 
-  /** How often sessions ended, or resyncs were asked for, for `reason`. */
+  /** Sum of the counter `name`, over the label `reason` only if one is passed. */
   async counter(name: string, reason?: string): Promise<number> {
     const values = (await this.registry.getSingleMetric(name)?.get())?.values ?? [];
     return values
--- a/test/control-stream/force-tracker.test.ts
+++ b/test/control-stream/force-tracker.test.ts
@@ -24,7 +24,7 @@
   return new TestDaemon(simulation.createMachine(name, zone), controllers);
 }
 
-/** What each controller says of each daemon. */
+/** Revision of each daemon by name, as each controller reports it. */
 function reports(): Record<string, number>[] {
   return controllers.map(({ daemons }) => {
     const entries = daemons.inForce(0).daemons.map(({ name, revision }) => [name, revision]);
@@ -37,7 +37,7 @@
 }
 
 describe('revisions in force', () => {
-  it('are known at every controller, the late daemon included', async () => {
+  it('are known at every controller, including that of a late daemon', async () => {
     startDaemon('router-1', 'asahikawa-a');
     const late = startDaemon('router-2', 'nayoro');
     await simulation.runFor(SETTLE_MS);
@@ -47,7 +47,7 @@
     expect(reports()).toEqual(Array(3).fill({ 'router-1': 2, 'router-2': 0 }));
   });
 
-  it('of a daemon that stopped as planned are no longer counted, those of a lost one are', async () => {
+  it('exclude a daemon that made a planned stop, but include a lost one', async () => {
     const stopped = startDaemon('router-1', 'asahikawa-a');
     const lost = startDaemon('router-2', 'nayoro');
     await simulation.runFor(SETTLE_MS);
@@ -57,7 +57,7 @@
     expect(reports()).toEqual(Array(3).fill({ 'router-2': 0 }));
   });
 
-  it('of a daemon out of reach for an hour are counted, since it may serve with what it holds', async () => {
+  it('include a daemon that was unreachable for an hour, since it may still be serving', async () => {
     const cutOff = startDaemon('router-1', 'nayoro');
     await simulation.runFor(SETTLE_MS);
     cutOff.host.crash({ power: true });
@@ -65,7 +65,7 @@
     expect(reports()).toEqual(Array(3).fill({ 'router-1': 0 }));
   });
 
-  it('are those of the newest process, also when its clock was set back', async () => {
+  it('are those of the newest process, even if its clock was set back', async () => {
     acceptEverywhere(1);
     const daemon = startDaemon('router-1', 'asahikawa-a');
     await simulation.runFor(SETTLE_MS);
@@ -78,7 +78,7 @@
     expect(reports()).toEqual(Array(3).fill({ 'router-1': 2 }));
   });
 
-  it('pass through a third controller while two are cut off from each other', async () => {
+  it('are forwarded by a third controller while two are partitioned from each other', async () => {
     const machines = [{ machine: 'controller-1' }, { machine: 'controller-2' }] as const;
     simulation.cut({ from: machines[0], to: machines[1] });
     simulation.cut({ from: machines[1], to: machines[0] });
@@ -94,7 +94,7 @@
     expect(reports()).toEqual(Array(3).fill({ 'router-1': 2 }));
   });
 
-  it('that came just before a cut was noticed pass through a third controller', async () => {
+  it('reported before a partition is detected are forwarded by a third controller', async () => {
     const daemon = startDaemon('router-1', 'asahikawa-a');
     await simulation.runFor(SETTLE_MS);
     const machines = [{ machine: 'controller-1' }, { machine: 'controller-2' }] as const;
@@ -107,7 +107,7 @@
     expect(reports()).toEqual(Array(3).fill({ 'router-1': 1 }));
   });
 
-  it('of two daemons of one name are counted as such', async () => {
+  it('reported by two daemons of the same name increment the counter of superseded reports', async () => {
     const counted = async (): Promise<number> => {
       const counts = controllers.map((controller) => controller.counter(SUPERSEDED));
       return (await Promise.all(counts)).reduce((sum, count) => sum + count, 0);
@@ -121,7 +121,7 @@
     expect(await counted()).toBeGreaterThan(0);
   });
 
-  it('do not fall when an older report comes later by another way', () => {
+  it('do not decrease when an older report arrives later by another path', () => {
     const [controller] = controllers;
     const report = { name: 'router-1', zone: 'nayoro', version: '1', incarnation: 7, left: false };
     const daemons = controller?.daemons ?? expect.fail('no controller');
@@ -130,7 +130,7 @@
     expect(reports()[0]).toEqual({ 'router-1': 5 });
   });
 
-  it('reach a controller that was restarted', async () => {
+  it('are sent again to a controller that was restarted', async () => {
     startDaemon('router-1', 'asahikawa-a');
     await simulation.runFor(SETTLE_MS);
     const [, second] = controllers;
--- a/test/control-stream/malformed-frames.test.ts
+++ b/test/control-stream/malformed-frames.test.ts
@@ -43,7 +43,7 @@
   return simulation.settle(dial(environment, identity, { address, role, connectTimeout: 1_000 }));
 }
 
-/** Sends frames to the controller; whether it closes the connection within a second. */
+/** Sends frames to the controller; returns whether it closes the connection within a second. */
 async function isClosedAfter(role: ConnectionRole, frames: Uint8Array[]): Promise<boolean> {
   const connection = await connect(role);
   let closed = false;
@@ -63,22 +63,28 @@
 describe('a controller', () => {
   const fromDaemons: [string, Uint8Array][] = [
     ['an unknown message', Uint8Array.of(255)],
-    ['a message cut short', WELL_FORMED.subarray(0, 2)],
+    ['a truncated message', WELL_FORMED.subarray(0, 2)],
     ['a message that only controllers send', stream({ kind: 'snapshotChunk', bytes: WELL_FORMED })],
     [
-      'a sign in an unknown state',
+      'a replica report with an unknown state',
       stream({ ...REPLICA_REPORT, state: 'asleep', observedBy: 'router-1' }),
     ],
-    ['a sign by no valid name', stream({ ...REPLICA_REPORT, observedBy: '' })],
-    ['a frame longer than daemons send', Buffer.alloc(MAXIMUM_SUBSCRIBER_FRAME_BYTES + 1, 17)],
-    ['a frame longer than any', OVERSIZED_FRAME],
+    [
+      'a replica report with an invalid observer name',
+      stream({ ...REPLICA_REPORT, observedBy: '' }),
+    ],
+    ['a frame above the limit for daemons', Buffer.alloc(MAXIMUM_SUBSCRIBER_FRAME_BYTES + 1, 17)],
+    ['a frame above the general limit', OVERSIZED_FRAME],
   ];
-  it.each(fromDaemons)('closes and counts a daemon that sends %s', async (_name, frame) => {
-    expect(await isClosedAfter('subscriber', [stream(SUBSCRIPTION), frame])).toBe(true);
-    expect(await controller.counter(SUBSCRIBER)).toBe(1);
-  });
+  it.each(fromDaemons)(
+    'closes the connection of a daemon that sends %s, and counts the frame',
+    async (_name, frame) => {
+      expect(await isClosedAfter('subscriber', [stream(SUBSCRIPTION), frame])).toBe(true);
+      expect(await controller.counter(SUBSCRIBER)).toBe(1);
+    },
+  );
 
-  it('closes and counts a daemon that does not subscribe first', async () => {
+  it('closes the connection of a daemon that does not subscribe first, and counts the frame', async () => {
     expect(await isClosedAfter('subscriber', [WELL_FORMED])).toBe(true);
     expect(await controller.counter(SUBSCRIBER)).toBe(1);
   });
@@ -86,7 +92,7 @@
   const fromControllers: [string, Uint8Array][] = [
     ['an unknown message', Uint8Array.of(255)],
     [
-      'a sign in an unknown state',
+      'a replica report with an unknown state',
       EXCHANGE_CODEC.encode({
         ...REPLICA_REPORT,
         kind: 'scopedSign',
@@ -95,14 +101,17 @@
         observedBy: 'x',
       }),
     ],
-    ['a frame longer than any', OVERSIZED_FRAME],
+    ['a frame above the general limit', OVERSIZED_FRAME],
   ];
-  it.each(fromControllers)('closes and counts another that sends %s', async (_name, frame) => {
-    expect(await isClosedAfter('exchange', [frame])).toBe(true);
-    expect(await controller.counter(EXCHANGE)).toBe(1);
-  });
+  it.each(fromControllers)(
+    'closes the connection of a controller that sends %s, and counts the frame',
+    async (_name, frame) => {
+      expect(await isClosedAfter('exchange', [frame])).toBe(true);
+      expect(await controller.counter(EXCHANGE)).toBe(1);
+    },
+  );
 
-  it('outlives a daemon that goes while the controller asks the quorum', async () => {
+  it('removes a subscriber that disconnects while its read barrier is pending', async () => {
     controller.log.readsHang = true;
     const connection = await connect('subscriber');
     void connection.send(stream(SUBSCRIPTION));
@@ -112,7 +121,7 @@
     expect(await controller.counter('driftway_control_stream_subscribers')).toBe(0);
   });
 
-  it('keeps the connection of a daemon that keeps to the protocol', async () => {
+  it('keeps the connection of a daemon that follows the protocol', async () => {
     expect(await isClosedAfter('subscriber', [stream(SUBSCRIPTION), WELL_FORMED])).toBe(false);
     expect(await controller.counter(SUBSCRIBER)).toBe(0);
   });
--- a/test/control-stream/replica-reports.test.ts
+++ b/test/control-stream/replica-reports.test.ts
@@ -5,16 +5,16 @@
 import { TestDaemon } from './daemon-fixture.js';
 
 const SEED = 4;
-/** Promise 6 leaves a few seconds in all; the stream takes less than one. */
+/** Promise 6 allows a few seconds in total, of which the stream takes less than one. */
 const SETTLE_MS = 1_000;
 
 let simulation: Simulation;
 let own: TestController;
 let other: TestController;
-/** Of one zone, at two controllers. */
+/** In the same zone as `sameZoneDaemon`, but following another controller. */
 let observer: TestDaemon;
 let sameZoneDaemon: TestDaemon;
-/** Of another zone. */
+/** In another zone than the other two daemons. */
 let otherZoneDaemon: TestDaemon;
 
 function replicaReport(incarnation: number, state: ReplicaState): ReplicaReport {
@@ -36,22 +36,22 @@
   return simulation.settle(TestController.start(simulation.createMachine(name, zone)));
 }
 
-describe('signs of replicas', () => {
-  it('reach daemons at other controllers; a back end says itself that it drains', async () => {
+describe('replica reports', () => {
+  it('of draining, which a back end states itself, reach daemons of all zones and controllers', async () => {
     observer.client.reportReplicaState(replicaReport(1, 'draining'));
     await simulation.runFor(SETTLE_MS);
     expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
     expect(otherZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
   });
 
-  it('that a replica is gone stay in the zone that finds it so', async () => {
+  it('that a replica is gone reach only daemons in the zone of the observer', async () => {
     observer.client.reportReplicaState(replicaReport(1, 'gone'));
     await simulation.runFor(SETTLE_MS);
     expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'gone')]);
     expect(otherZoneDaemon.replicaReports).toEqual([]);
   });
 
-  it('never override newer ones, whoever gives them and after any restart', async () => {
+  it('never replace newer ones, whichever daemon sends them, even after a restart', async () => {
     observer.client.reportReplicaState(replicaReport(2, 'draining'));
     await simulation.runFor(SETTLE_MS);
     sameZoneDaemon.client.reportReplicaState(replicaReport(2, 'live'));
@@ -70,7 +70,7 @@
     ]);
   });
 
-  it('reach a controller again within seconds after it was out of reach for long', async () => {
+  it('reach a controller within seconds after a long partition has healed', async () => {
     const machines = [{ machine: 'controller-1' }, { machine: 'controller-2' }] as const;
     simulation.cut({ from: machines[0], to: machines[1] });
     simulation.cut({ from: machines[1], to: machines[0] });
@@ -81,7 +81,7 @@
     expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
   });
 
-  it('pass through a third controller while two are cut off from each other', async () => {
+  it('are forwarded by a third controller while two are partitioned from each other', async () => {
     const third = await start('controller-3', 'wakkanai');
     setMembers([own, other, third]);
     await simulation.runFor(SETTLE_MS * 3);
--- a/test/control-stream/scripted-source.ts
+++ b/test/control-stream/scripted-source.ts
@@ -1,4 +1,4 @@
-/** A controller in the simulation that sends what the test tells it, right or wrong. */
+/** A simulated controller that sends exactly what the test passes to it, valid or not. */
 import { Registry } from 'prom-client';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
 import type { ControllerEndpoint } from '../../src/configuration/daemon-configuration.js';
@@ -7,9 +7,9 @@
 import type { MessageConnection } from '../../src/seams/message-connection.js';
 import { CLUSTER } from './controller-fixture.js';
 
-/** Serves one daemon at a time. */
+/** Serves one daemon at a time; answers nothing by itself. */
 export class ScriptedSource {
-  /** From all connections, oldest first. */
+  /** Messages received on all connections, oldest first. */
   readonly received: StreamMessage[] = [];
   private connection: MessageConnection | undefined;
   private listener!: AuthenticatedListener;
@@ -37,7 +37,7 @@
     return this.host.environment.clock.now();
   }
 
-  /** Messages of one kind that the daemon sent. */
+  /** Received messages of one kind. */
   messagesOf<K extends StreamMessage['kind']>(kind: K): Extract<StreamMessage, { kind: K }>[] {
     return this.received.filter(
       (message): message is Extract<StreamMessage, { kind: K }> => message.kind === kind,
--- a/test/control-stream/source-session.test.ts
+++ b/test/control-stream/source-session.test.ts
@@ -20,7 +20,7 @@
 let registry: Registry;
 let client: ControlStreamClient;
 let revisions: number[];
-/** What a sound controller would send. */
+/** The state from which `history` encodes the frames that a correct controller would send. */
 let machine: ConfigurationStateMachine;
 let history: EncodedHistory;
 
@@ -68,7 +68,7 @@
   await simulation.runFor(500);
 });
 
-/** Welcomes the daemon and brings it to revision 1. */
+/** Welcomes the daemon and sends it a snapshot of revision 1. */
 async function startAtRevisionOne(): Promise<void> {
   source.welcome();
   apply(1);
@@ -78,7 +78,7 @@
 }
 
 describe('a daemon', () => {
-  it('asks for the whole configuration when a change is missing', async () => {
+  it('requests the whole configuration when a change is missing', async () => {
     await startAtRevisionOne();
     apply(2);
     apply(3);
@@ -92,7 +92,7 @@
     expect(await counter('driftway_control_stream_resyncs_total', 'gap')).toBe(1);
   });
 
-  it('does not put in force a change that gives another content than the source has', async () => {
+  it('does not apply a change that produces content other than the source has', async () => {
     await startAtRevisionOne();
     apply(2);
     const [frame] = history.framesAfter(1);
@@ -103,7 +103,7 @@
     expect(source.messagesOf('resync')).toEqual([{ kind: 'resync', reason: 'divergence' }]);
   });
 
-  it('holds nothing that was not proven fresh', async () => {
+  it('does not accept its first configuration from a source that is not proven fresh', async () => {
     source.welcome(false);
     apply(1);
     sendFrames(history.snapshotFrames());
@@ -111,7 +111,7 @@
     expect(revisions).toEqual([]);
   });
 
-  it('takes a heartbeat that was held back for as old as it is', async () => {
+  it('treats a delayed heartbeat as being as old as its time of writing', async () => {
     await startAtRevisionOne();
     sendHeartbeat();
     await simulation.runFor(2_000);
@@ -120,11 +120,11 @@
     await simulation.runFor(500);
     sendHeartbeat({ sourceTime: writtenLongAgo });
     await simulation.runFor(2_000);
-    // The earlier proof has run out, and the late heartbeat brought none.
+    // The earlier proof has expired, and the delayed heartbeat did not renew it.
     expect(client.freshness().fresh).toBe(false);
   });
 
-  it('does not leave a source proven fresh for a heartbeat written before the proof', async () => {
+  it('stays with a source proven fresh when a heartbeat written before the proof arrives', async () => {
     await startAtRevisionOne();
     sendHeartbeat({ sinceQuorumMs: Infinity });
     await simulation.runFor(QUORUM_LEASE_MS - 1_000);
@@ -134,7 +134,7 @@
     expect(await counter(ENDED, 'cut_off')).toBe(1);
   });
 
-  it('waits for a configuration that takes longer to arrive than the lease lasts', async () => {
+  it('waits for a snapshot that takes longer to arrive than the quorum lease lasts', async () => {
     source.welcome();
     apply(1);
     const small = new EncodedHistory(machine, () => undefined, { chunkBytes: 16, changes: 1 });
@@ -149,7 +149,7 @@
     expect(await counter(ENDED)).toBe(0);
   });
 
-  it('gives up a configuration whose next part does not come', async () => {
+  it('ends the session when the next chunk of a snapshot does not arrive', async () => {
     source.welcome();
     apply(1);
     const small = new EncodedHistory(machine, () => undefined, { chunkBytes: 16, changes: 1 });
@@ -160,21 +160,27 @@
 
   const malformedMessages: [string, () => void][] = [
     ['an unknown message', () => source.sendBytes(Uint8Array.of(255))],
-    ['a chunk that was not announced', () => source.send(CHUNK)],
-    ['a configuration that is too long', () => source.send({ ...BEGIN, totalBytes: 2 ** 40 })],
+    ['a chunk of a snapshot that was not announced', () => source.send(CHUNK)],
+    ['a configuration above the size limit', () => source.send({ ...BEGIN, totalBytes: 2 ** 40 })],
     ['a configuration that is not JSON', () => source.send(BEGIN, CHUNK)],
     ['a message that only daemons send', () => source.send({ kind: 'resync', reason: 'gap' })],
     ['a change that is not JSON', () => source.send({ ...DELTA, change: Buffer.from('{') })],
-    ['a sign in an unknown state', () => source.send({ ...REPLICA_REPORT, state: 'constructor' })],
+    [
+      'a replica report with an unknown state',
+      () => source.send({ ...REPLICA_REPORT, state: 'constructor' }),
+    ],
   ];
-  it.each(malformedMessages)('closes the connection on %s, and counts it', async (_name, send) => {
-    await startAtRevisionOne();
-    send();
-    await simulation.runFor(100);
-    expect(await counter(MALFORMED)).toBe(1);
-    expect(await counter(ENDED, 'malformed')).toBe(1);
-    expect(revisions).toEqual([1]);
-  });
+  it.each(malformedMessages)(
+    'closes the connection on receiving %s, and counts the frame',
+    async (_name, send) => {
+      await startAtRevisionOne();
+      send();
+      await simulation.runFor(100);
+      expect(await counter(MALFORMED)).toBe(1);
+      expect(await counter(ENDED, 'malformed')).toBe(1);
+      expect(revisions).toEqual([1]);
+    },
+  );
 });
 
 const BEGIN = { kind: 'snapshotBegin', revision: 9, stateHash: '', totalBytes: 1 } as const;
--- a/test/control-stream/versioned-table.test.ts
+++ b/test/control-stream/versioned-table.test.ts
@@ -5,12 +5,12 @@
 const RUNS = { numRuns: 200, seed: 4 };
 const MAXIMUM_ENTRIES = 5;
 
-/** The slow way: every change is kept, and the latest of each key counts. */
+/** Reference implementation: scans all changes for the latest one of each key. */
 function latestAfter(changes: readonly string[], position: number): string[] {
   return changes.filter((key, index) => index >= position && !changes.includes(key, index + 1));
 }
 
-it('gives each reader the latest value of what changed after its position, in order', () => {
+it('returns the latest value of each key that changed after a position, in order of change', () => {
   const keys = fc.array(fc.constantFrom('a', 'b', 'c', 'd', 'e'), {
     maxLength: 3_000,
     size: 'max',
@@ -27,13 +27,13 @@
   );
 });
 
-it('keeps what changed once and long ago', () => {
+it('keeps a key that changed only once, before many changes of another key', () => {
   const table = new VersionedTable<string>(MAXIMUM_ENTRIES);
   for (const key of ['a', ...Array<string>(5_000).fill('b')]) table.put(key, key);
   expect(table.changedAfter(0)).toEqual(['a', 'b']);
 });
 
-it('forgets what was removed, and beyond its bound what is unchanged for longest', () => {
+it('drops removed keys, and evicts the key unchanged for longest above its limit', () => {
   const table = new VersionedTable<number>(2);
   for (const [index, key] of ['a', 'b', 'a', 'c'].entries()) table.put(key, index);
   expect(table.changedAfter(0)).toEqual([2, 3]);
