--- a/src/administration/tenant-usage-routes.ts
+++ b/src/administration/tenant-usage-routes.ts
@@ -1,7 +1,7 @@
 /** How far tenants have used their limits, as the controller knows that grants the tokens. */
 import * as z from 'zod';
 import type { QuotaServer } from '../tenants/quota-server.js';
-import { boundsOf } from '../tenants/quota-bounds.js';
+import { computeQuotaBounds } from '../tenants/quota-bounds.js';
 import { RETRY_AFTER_MS, type AdministrationContext } from './administration-context.js';
 import { AdministrationError } from './administration-error.js';
 import { tenantUsageListSchema, type TenantUsageList } from './response-schemas.js';
@@ -32,7 +32,7 @@
     name: tenant.name,
     requestsPerSecond: tenant.requestsPerSecond,
     burst: tenant.burst,
-    allowed: boundsOf(tenant, settings).limit,
+    allowed: computeQuotaBounds(tenant, settings).windowLimit,
     ...counts,
   }));
   return { owner, windowMs: settings.windowMs, tenants };
--- a/src/aggregation/aggregation.ts
+++ b/src/aggregation/aggregation.ts
@@ -9,7 +9,7 @@
 import type { GatewayContext } from '../gateway/gateway-context.js';
 import type { PartListener, PartSource } from '../gateway/part-source.js';
 import type { ReplicaTarget } from '../gateway/replica-target.js';
-import type { SecondSendLimits } from '../gateway/second-send-budget.js';
+import type { ExtraAttemptLimits } from '../gateway/extra-attempt-budget.js';
 import type { Telemetry } from '../observability/telemetry.js';
 import { AuthenticatedListener } from '../protocol/authenticated-listener.js';
 import type { LocalIdentity } from '../protocol/handshake.js';
@@ -38,7 +38,7 @@
   /** Zone of this gateway. */
   readonly zone: string;
   readonly settings: AggregationSettings;
-  readonly secondSends: SecondSendLimits;
+  readonly secondSends: ExtraAttemptLimits;
   readonly telemetry: Telemetry;
   readonly leaves: () => readonly LeafGateway[];
   readonly table: () => RouteTable | undefined;
--- a/src/aggregation/group-gather.ts
+++ b/src/aggregation/group-gather.ts
@@ -262,7 +262,10 @@
   private recordReport(attempt: LeafAttempt, report: PartsMessage): void {
     const { latencies, rootContext } = this.context;
     attempt.sends = report.sends;
-    rootContext.shedding.learn(this.request.route.shards?.[0] ?? '', report.admittedPart);
+    rootContext.shedding.mergeAdmittedPart(
+      this.request.route.shards?.[0] ?? '',
+      report.admittedPart,
+    );
     if (attempt.hasReported) return;
     attempt.hasReported = true;
     latencies.recordReport(this.request.route, this.now() - attempt.sentAt);
--- a/src/aggregation/leaf-gather.ts
+++ b/src/aggregation/leaf-gather.ts
@@ -104,7 +104,7 @@
     const delayMs = Math.max(0, this.options.reportInMs - answerMargin.lag);
     const dueAt = clock.now() + delayMs;
     return clock.setTimer(delayMs, () => {
-      answerMargin.noteTimer(clock.now() - dueAt);
+      answerMargin.recordTimerLag(clock.now() - dueAt);
       this.reportOnTime();
     });
   }
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -117,7 +117,7 @@
       document: () => register.current(),
       evacuations: () => evacuations.all(),
       quarantine,
-      onCrashEvidence: (change) => intake.take(change),
+      onCrashEvidence: (change) => intake.submit(change),
       members: () => log.status().members,
       ownName: identity.name,
       ownZone: zone,
--- a/src/gateway/attempt-observer.ts
+++ b/src/gateway/attempt-observer.ts
@@ -2,13 +2,13 @@
 import type { Route } from '../routes/route-document.js';
 import type { AttemptRecord } from './attempt-record.js';
 import { NotRunReason, type NotRunAttempt } from './attempt-result.js';
-import { slotTime } from './expected-wait.js';
+import { slotInterval } from './expected-wait.js';
 import type { GatewayContext } from './gateway-context.js';
 import type { ReplicaTarget } from './replica-target.js';
 import type { RouteLatency } from './route-latency.js';
 
 /** Reports below this are taken as this, so that none makes a replica seem endlessly slow. */
-const LEAST_WORK_FACTOR = 0.2;
+const MINIMUM_WORK_FACTOR = 0.2;
 
 /** Takes in an attempt that has ended; nothing while it is in flight. */
 export function observeAttempt(
@@ -20,40 +20,40 @@
 ): void {
   if (endedAt === undefined || result === undefined) return;
   const elapsed = endedAt - sentAt;
-  const ratio = elapsed / Math.max(latency.usual, 1);
+  const ratio = elapsed / Math.max(latency.median, 1);
   context.metrics.attempts.inc({ result: result.kind });
-  noteLoad(context, route, target, sentAt);
+  recordLoad(context, route, target, sentAt);
   switch (result.kind) {
     case 'answered':
       latency.addAnswer(elapsed);
-      target.noteLatency(ratio / workFactorOf(context, target, sentAt), endedAt);
-      target.noteUsable();
+      target.recordLatency(ratio / reportedWorkFactor(context, target, sentAt), endedAt);
+      target.recordSuccess();
       return;
     case 'cancelled':
       latency.addUnfinished(elapsed);
-      target.noteUnfinished(ratio, endedAt);
+      target.recordUnfinished(ratio, endedAt);
       return;
     case 'failedAnswer':
       return;
     case 'notRun':
-      noteNotRun(context, latency, target, result, endedAt);
+      recordNotRun(context, latency, target, result, endedAt);
       return;
     case 'broken':
-      target.noteFailure(endedAt);
+      target.recordFailure(endedAt);
   }
 }
 
 /** What the replica said with this answer of the time that work took: not a property of the replica. */
-function workFactorOf(
+function reportedWorkFactor(
   { mechanisms }: GatewayContext,
   { load }: ReplicaTarget,
   sentAt: number,
 ): number {
   const isReported = mechanisms.workReports && load !== undefined && load.at > sentAt;
-  return isReported ? Math.max(load.workFactor, LEAST_WORK_FACTOR) : 1;
+  return isReported ? Math.max(load.workFactor, MINIMUM_WORK_FACTOR) : 1;
 }
 
-function noteNotRun(
+function recordNotRun(
   { targets, mechanisms }: GatewayContext,
   latency: RouteLatency,
   target: ReplicaTarget,
@@ -61,13 +61,13 @@
   now: number,
 ): void {
   const isFull = reason === NotRunReason.Refused && mechanisms.expectedWait;
-  if (isFull) target.fullUntil = now + slotTime(target, latency.usual, now);
-  if (reason === NotRunReason.Unreachable) target.noteFailure(now);
-  if (reason === NotRunReason.WrongReplica) targets.noteReplaced(target);
+  if (isFull) target.fullUntil = now + slotInterval(target, latency.median, now);
+  if (reason === NotRunReason.Unreachable) target.recordFailure(now);
+  if (reason === NotRunReason.WrongReplica) targets.markReplaced(target);
 }
 
 /** Only what was said in answer to this sending. */
-function noteLoad(
+function recordLoad(
   { shedding }: GatewayContext,
   { shards = [] }: Route,
   { load }: ReplicaTarget,
@@ -75,5 +75,5 @@
 ): void {
   const [firstShard] = shards;
   const isNew = load !== undefined && load.at > sentAt;
-  if (firstShard !== undefined && isNew) shedding.note(firstShard, load);
+  if (firstShard !== undefined && isNew) shedding.recordLoad(firstShard, load);
 }
--- a/src/gateway/attempt-record.ts
+++ b/src/gateway/attempt-record.ts
@@ -31,7 +31,7 @@
   result: AttemptResult | undefined;
 }
 
-const TENTHS = 10;
+const SLOWNESS_PRECISION = 10;
 
 /** What decides a choice of `target` now. */
 export function choiceInputs(target: ReplicaTarget, now: number): ChoiceInputs {
@@ -40,7 +40,7 @@
     replicaId: entry.replicaId,
     sequence: entry.sequence,
     restored: entry.restored === true,
-    slowness: Math.round(target.slownessAt(now) * TENTHS) / TENTHS,
+    slowness: Math.round(target.slownessAt(now) * SLOWNESS_PRECISION) / SLOWNESS_PRECISION,
     inFlight,
     reported: load === undefined ? undefined : load.running + load.waiting,
     reportedAgeMs: load === undefined ? undefined : Math.round(now - load.at),
--- a/src/gateway/send-attempt.ts
+++ b/src/gateway/attempt-sender.ts
@@ -9,7 +9,7 @@
 import { sizeOfRequest, sizeOfResponse } from './exchange-size.js';
 import { endToEndHeaders } from './forwarded-headers.js';
 import type { ReplicaTarget } from './replica-target.js';
-import { readReportedLoad } from './reported-load.js';
+import { parseReportedLoad } from './reported-load.js';
 
 const WRONG_REPLICA_STATUS = 421;
 const EMPTY_BODY_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
@@ -25,11 +25,11 @@
 }
 
 /** One sending of a request. */
-export interface Sending {
+export interface SendOptions {
   /** Aborting ends it. */
   readonly signal: AbortSignal;
   /** Longest wait for a connection; that of the client alone when undefined. Milliseconds. */
-  readonly connectWithin: number | undefined;
+  readonly connectTimeout: number | undefined;
   /** Called when it is written to a connection: from then on the replica may run it. */
   readonly onSent: () => void;
 }
@@ -38,7 +38,7 @@
 export class AttemptSender {
   constructor(
     private readonly clock: Clock,
-    private readonly names: ExchangeHeaders,
+    private readonly headerNames: ExchangeHeaders,
     /** Told of each load report that cannot be read. */
     private readonly onUnreadableReport: (report: UnreadableReport) => void,
     private readonly traffic: ZoneTraffic,
@@ -48,25 +48,25 @@
   async send(
     request: CallerRequest,
     target: ReplicaTarget,
-    { signal, connectWithin, onSent }: Sending,
+    { signal, connectTimeout: connectWithin, onSent }: SendOptions,
   ): Promise<AttemptResult> {
-    const left = Math.floor(request.deadline - this.clock.now());
-    if (left < 1) return { kind: 'notRun', reason: NotRunReason.Unreachable };
+    const remaining = Math.floor(request.deadline - this.clock.now());
+    if (remaining < 1) return { kind: 'notRun', reason: NotRunReason.Unreachable };
     try {
       const response = await this.exchange(target, {
         method: request.method,
         path: request.target,
-        headers: this.headersFor(request, target, left),
+        headers: this.headersFor(request, target, remaining),
         ...this.bodyOf(request),
         signal,
         ...(connectWithin === undefined ? {} : { connectWithin }),
         onSent,
-        acceptResponse: (headers) => this.belongsTo(request, headers),
+        acceptResponse: (headers) => this.isForRequest(request, headers),
       });
-      this.takeLoad(target, response.headers[this.names.load]);
-      return this.judge(request, response);
+      this.updateLoad(target, response.headers[this.headerNames.load]);
+      return this.classifyResponse(request, response);
     } catch (error) {
-      return this.judgeError(error);
+      return this.classifyError(error);
     }
   }
 
@@ -86,18 +86,22 @@
     return response;
   }
 
-  private takeLoad(target: ReplicaTarget, text: string | undefined): void {
+  private updateLoad(target: ReplicaTarget, text: string | undefined): void {
     if (text === undefined) return;
-    const load = readReportedLoad(text, this.clock.now());
+    const load = parseReportedLoad(text, this.clock.now());
     if (load === undefined) this.onUnreadableReport({ replicaId: target.entry.replicaId, text });
     else target.load = load;
   }
 
-  private headersFor(request: CallerRequest, target: ReplicaTarget, left: number): HttpHeaders {
-    const { deadline, targetReplica } = this.names;
+  private headersFor(
+    request: CallerRequest,
+    target: ReplicaTarget,
+    remaining: number,
+  ): HttpHeaders {
+    const { deadline, targetReplica } = this.headerNames;
     return {
       ...request.headers,
-      [deadline]: String(left),
+      [deadline]: String(remaining),
       [targetReplica]: target.entry.replicaId,
     };
   }
@@ -109,31 +113,31 @@
   }
 
   /** Closes the connection at once when the answer names another request. */
-  private belongsTo(request: CallerRequest, headers: HttpHeaders): boolean {
-    const id = headers[this.names.requestId];
+  private isForRequest(request: CallerRequest, headers: HttpHeaders): boolean {
+    const id = headers[this.headerNames.requestId];
     return id === undefined || id === request.id;
   }
 
-  private judge(request: CallerRequest, response: HttpClientResponse): AttemptResult {
+  private classifyResponse(request: CallerRequest, response: HttpClientResponse): AttemptResult {
     const { status, headers, body } = response;
-    const carriesId = headers[this.names.requestId] === request.id;
+    const carriesId = headers[this.headerNames.requestId] === request.id;
     // Also a refusal: a late one of an earlier request may stand where this answer is due.
     if (!carriesId) return { kind: 'broken', reason: 'the answer does not name the request' };
     if (status === WRONG_REPLICA_STATUS)
       return { kind: 'notRun', reason: NotRunReason.WrongReplica };
-    if (headers[this.names.notExecuted] !== undefined && !isSuccess(status)) {
+    if (headers[this.headerNames.notExecuted] !== undefined && !isSuccess(status)) {
       return { kind: 'notRun', reason: NotRunReason.Refused };
     }
     if (headers['content-encoding'] !== undefined) {
       return { kind: 'broken', reason: 'the answer is encoded' };
     }
-    const isSigned = headers[this.names.signature] !== undefined;
+    const isSigned = headers[this.headerNames.signature] !== undefined;
     if (!isSigned) return { kind: 'broken', reason: 'the answer is not signed' };
     const answer: ReplicaAnswer = { status, headers: endToEndHeaders(headers), body };
     return isSuccess(status) ? { kind: 'answered', answer } : { kind: 'failedAnswer', answer };
   }
 
-  private judgeError(error: unknown): AttemptResult {
+  private classifyError(error: unknown): AttemptResult {
     if (!(error instanceof HttpClientError)) return { kind: 'broken', reason: String(error) };
     if (error.kind === 'aborted') return { kind: 'cancelled' };
     if (!error.requestSent) return { kind: 'notRun', reason: NotRunReason.Unreachable };
--- a/src/gateway/attempt-tally.ts
+++ b/src/gateway/attempt-tally.ts
@@ -4,7 +4,7 @@
 import type { RaceOutcome } from './race-outcome.js';
 
 /** Sendings that replicas refused, beyond the attempts of the route. */
-const MAXIMUM_REFUSALS = 2;
+const MAXIMUM_RETRIED_REFUSALS = 2;
 
 /** Result of an attempt that brought no answer. */
 export type UnansweredResult = Exclude<AttemptResult, { kind: 'answered' }>;
@@ -24,12 +24,12 @@
   }
 
   /** Whether replicas refused it no more often than a request is sent on for. */
-  get isWithinRefusals(): boolean {
-    return this.refusals <= MAXIMUM_REFUSALS;
+  get isWithinRefusalLimit(): boolean {
+    return this.refusals <= MAXIMUM_RETRIED_REFUSALS;
   }
 
   /** Counts an attempt that has ended. */
-  note(result: UnansweredResult): void {
+  record(result: UnansweredResult): void {
     if (result.kind === 'notRun') {
       this.reason = result.reason;
       if (result.reason !== NotRunReason.Unreachable) this.refusals += 1;
--- a/src/gateway/authentication.ts
+++ b/src/gateway/authentication.ts
@@ -42,6 +42,6 @@
   const key = request.headers[keyHeader] ?? '';
   if (request.isRepeated?.(keyHeader) === true) return { problem: KeyProblem.Repeated };
   if (key === '') return { problem: KeyProblem.Missing };
-  const tenant = tenants.holderOf(key);
+  const tenant = tenants.findByKey(key);
   return tenant === undefined ? { problem: KeyProblem.Unknown } : { tenant };
 }
--- a/src/gateway/cold-send-slots.ts
+++ b/src/gateway/cold-send-limiter.ts
@@ -10,33 +10,33 @@
  * Longest part of a slot in which the gateway may send. All whose slots begin within a
  * second and this time may meet in one second. Milliseconds.
  */
-const LONGEST_OPEN_MS = 500;
+const MAXIMUM_SEND_WINDOW_MS = 500;
 /** Part of the bound that is shared out; the rest is for chance in where slots begin. */
-const USED_PART = 0.6;
+const USED_FRACTION = 0.6;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Length of a slot. Milliseconds. */
-export function coldSlotLength(requestsPerSecond: number, gateways: number): number {
-  return (MILLISECONDS_PER_SECOND * gateways) / (requestsPerSecond * USED_PART);
+export function coldSendInterval(requestsPerSecond: number, gateways: number): number {
+  return (MILLISECONDS_PER_SECOND * gateways) / (requestsPerSecond * USED_FRACTION);
 }
 
 /** See the module comment. */
-export class ColdSendSlots {
-  private usedSlot: number | undefined;
+export class ColdSendLimiter {
+  private lastInterval: number | undefined;
 
   constructor(
     /** Where slots begin, as a part of their length. From 0 to below 1. */
     private readonly phase: number,
   ) {}
 
-  isOpen(now: number, slotLength: number): boolean {
-    const place = now / slotLength + this.phase;
-    const sinceBegin = (place % 1) * slotLength;
-    return sinceBegin < LONGEST_OPEN_MS && Math.floor(place) !== this.usedSlot;
+  allows(now: number, interval: number): boolean {
+    const position = now / interval + this.phase;
+    const sinceStart = (position % 1) * interval;
+    return sinceStart < MAXIMUM_SEND_WINDOW_MS && Math.floor(position) !== this.lastInterval;
   }
 
   /** A request was sent. */
-  use(now: number, slotLength: number): void {
-    this.usedSlot = Math.floor(now / slotLength + this.phase);
+  recordSend(now: number, interval: number): void {
+    this.lastInterval = Math.floor(now / interval + this.phase);
   }
 }
--- a/src/gateway/connect-bounds.ts
+++ b/src/gateway/connect-timeouts.ts
@@ -5,24 +5,24 @@
  */
 
 /** An opening that takes longer than this part of the target leaves too little of it for the work. */
-const CONNECT_PART_OF_TARGET = 0.1;
+const CONNECT_TIMEOUT_FRACTION = 0.1;
 /** Over long links and on busy machines an opening takes some of this. Milliseconds. */
-const LEAST_CONNECT_MS = 50;
+const MINIMUM_CONNECT_TIMEOUT_MS = 50;
 /** A request that was written to no connection within this part of its target is refused as not run. */
-const UNSENT_PART_OF_TARGET = 0.5;
+const SEND_TIMEOUT_FRACTION = 0.5;
 
 /** Time from its receipt within which a request is written to a connection, or refused. Milliseconds. */
-export function longestUnsent(targetLatency: number): number {
-  return targetLatency * UNSENT_PART_OF_TARGET;
+export function sendTimeout(targetLatency: number): number {
+  return targetLatency * SEND_TIMEOUT_FRACTION;
 }
 
 /**
  * Longest wait for one connection, of a request that has been written to none for `unsentFor`
  * milliseconds; undefined once it was written to one. Milliseconds.
  */
-export function longestConnect(targetLatency: number, unsentFor: number | undefined): number {
-  const bound = Math.max(targetLatency * CONNECT_PART_OF_TARGET, LEAST_CONNECT_MS);
+export function connectTimeout(targetLatency: number, unsentFor: number | undefined): number {
+  const bound = Math.max(targetLatency * CONNECT_TIMEOUT_FRACTION, MINIMUM_CONNECT_TIMEOUT_MS);
   if (unsentFor === undefined) return bound;
-  const left = longestUnsent(targetLatency) - unsentFor;
-  return Math.max(1, Math.min(bound, left));
+  const remaining = sendTimeout(targetLatency) - unsentFor;
+  return Math.max(1, Math.min(bound, remaining));
 }
--- a/src/gateway/create-gateway-context.ts
+++ b/src/gateway/create-gateway-context.ts
@@ -15,10 +15,10 @@
 import { OverloadShedding } from './overload-shedding.js';
 import { ReplicaChoice, type PlacementOptions } from './replica-choice.js';
 import { RequestDecisions } from './request-decisions.js';
-import { RetryTimes } from './retry-times.js';
+import { RetrySchedule } from './retry-schedule.js';
 import { RouteLatencies } from './route-latencies.js';
-import type { SecondSendLimits } from './second-send-budget.js';
-import { AttemptSender, type UnreadableReport } from './send-attempt.js';
+import type { ExtraAttemptLimits } from './extra-attempt-budget.js';
+import { AttemptSender, type UnreadableReport } from './attempt-sender.js';
 import { ServiceTargets } from './service-targets.js';
 import type { AuthorizationLease } from '../tenants/authorization-lease.js';
 import type { TenantQuota } from '../tenants/tenant-quota.js';
@@ -36,7 +36,7 @@
   readonly mechanisms: GatewayMechanisms;
   readonly placement: PlacementOptions;
   readonly regions: ZoneRegions;
-  readonly secondSends: SecondSendLimits;
+  readonly secondSends: ExtraAttemptLimits;
   readonly lease: AuthorizationLease;
   readonly quota: TenantQuota;
   /** Number of gateways in the fleet; undefined while no followed controller has reported it. */
@@ -66,8 +66,8 @@
     registry: telemetry.registry,
     gateway: options.name,
     send: options.reportEvidence,
-    isOn: mechanisms.quarantine,
-    hasTrials: mechanisms.crashTrials,
+    isEnabled: mechanisms.quarantine,
+    areTrialsEnabled: mechanisms.crashTrials,
   });
   return {
     environment,
@@ -79,7 +79,7 @@
     sender: new AttemptSender(clock, headers, onUnreadableReport, traffic),
     latencies: new RouteLatencies(),
     shares: new FleetShares(clock, secondSends, countGateways, mechanisms.youngShares),
-    retryTimes: new RetryTimes(random),
+    retrySchedule: new RetrySchedule(random),
     shedding: new OverloadShedding(random),
     answerMargin: new AnswerMargin(mechanisms.learnedMargin),
     crashGuard,
--- a/src/gateway/evacuations-in-force.ts
+++ b/src/gateway/evacuations-in-force.ts
@@ -17,7 +17,7 @@
   take(evacuation: ZoneEvacuation): void {
     if (!this.evacuatedZones.update(evacuation)) return;
     const { zones } = this.evacuatedZones;
-    this.context.targets.useEvacuatedZones(zones);
+    this.context.targets.setEvacuatedZones(zones);
     this.context.metrics.evacuatedZones.set(zones.size);
     const { zone, isEvacuated, revision } = evacuation;
     this.logger.info('evacuation in force', { zone, isEvacuated, revision });
--- a/src/gateway/second-send-budget.ts
+++ b/src/gateway/extra-attempt-budget.ts
@@ -9,7 +9,7 @@
  */
 
 /** Bounds of the whole fleet. */
-export interface SecondSendLimits {
+export interface ExtraAttemptLimits {
   /** Further sendings for each request. */
   readonly ratio: number;
   /** Further sendings beyond that, of all gateways together, in any window. */
@@ -19,36 +19,36 @@
 }
 
 /** Part of the bounds that is used, for what is counted differently elsewhere. */
-const USED_PART = 0.85;
+const USED_FRACTION = 0.85;
 
 /** Of one service. */
-export class SecondSendBudget {
-  private saved: number;
+export class ExtraAttemptBudget {
+  private tokens: number;
 
   constructor(
-    private readonly limits: SecondSendLimits,
+    private readonly limits: ExtraAttemptLimits,
     gateways: number,
     isProcessOld: boolean,
   ) {
-    const part = isProcessOld ? USED_PART : 1 - USED_PART;
-    this.saved = (limits.slack * part) / Math.max(1, gateways);
+    const fraction = isProcessOld ? USED_FRACTION : 1 - USED_FRACTION;
+    this.tokens = (limits.slack * fraction) / Math.max(1, gateways);
   }
 
   /** A request was sent for the first time. */
-  noteRequest(gateways: number): void {
-    const most = (this.limits.slack * USED_PART) / Math.max(1, gateways);
-    this.saved = Math.min(this.saved + this.limits.ratio * USED_PART, Math.max(1, most));
+  recordRequest(gateways: number): void {
+    const maximum = (this.limits.slack * USED_FRACTION) / Math.max(1, gateways);
+    this.tokens = Math.min(this.tokens + this.limits.ratio * USED_FRACTION, Math.max(1, maximum));
   }
 
   /** Takes one further sending; false when there is none left. */
   take(): boolean {
-    if (this.saved < 1) return false;
-    this.saved -= 1;
+    if (this.tokens < 1) return false;
+    this.tokens -= 1;
     return true;
   }
 
-  /** Gives back what {@link SecondSendBudget.take} took and was not used. */
+  /** Gives back what {@link ExtraAttemptBudget.take} took and was not used. */
   giveBack(): void {
-    this.saved += 1;
+    this.tokens += 1;
   }
 }
--- a/src/gateway/fan-out.ts
+++ b/src/gateway/fan-out.ts
@@ -124,7 +124,7 @@
    * waiting for the rest.
    */
   private cutOff(dueAt: number): void {
-    this.context.answerMargin.noteTimer(this.context.environment.clock.now() - dueAt);
+    this.context.answerMargin.recordTimerLag(this.context.environment.clock.now() - dueAt);
     this.isPastCutOff = true;
     this.finishIfDecided();
   }
--- a/src/gateway/forward-single.ts
+++ b/src/gateway/forward-single.ts
@@ -2,7 +2,7 @@
 import type { Timer } from '../seams/clock.js';
 import type { HttpResponse } from '../seams/http.js';
 import type { CallerRequest } from './caller-request.js';
-import { longestConnect, longestUnsent } from './connect-bounds.js';
+import { connectTimeout, sendTimeout } from './connect-timeouts.js';
 import { GatewayRefusal, refuse, refuseNotRun } from './gateway-answers.js';
 import type { GatewayContext } from './gateway-context.js';
 import { targetLatencyOf } from './route-latencies.js';
@@ -44,11 +44,11 @@
     this.race = new ReplicaRace(context, request, {
       service,
       latency: this.latency,
-      stake: 1,
+      valueFraction: 1,
       isRepeat: false,
-      retryUntil: sendDeadline,
-      leavesEndedReplicas: context.mechanisms.endedReplicas,
-      connectWithin: context.mechanisms.boundedConnecting ? this.connectWithin : undefined,
+      retryDeadline: sendDeadline,
+      abortsOnReplacement: context.mechanisms.endedReplicas,
+      connectTimeout: context.mechanisms.boundedConnecting ? this.connectWithin : undefined,
       onEnd: this.onEnd,
     });
   }
@@ -69,7 +69,7 @@
     const { clock } = this.context.environment;
     this.timers = [
       clock.setTimer(this.targetLatency * NO_ATTEMPT_REFUSAL_FRACTION, this.refuseIfNotAttempted),
-      clock.setTimer(longestUnsent(this.targetLatency), this.refuseIfUnconnected),
+      clock.setTimer(sendTimeout(this.targetLatency), this.refuseIfUnconnected),
       clock.setTimer(this.latency.hedgeDelay, this.onHedgeDelay),
       clock.setTimer(this.request.deadline - clock.now(), this.onDeadline),
     ];
@@ -81,7 +81,7 @@
    */
   private readonly connectWithin = (): number => {
     const elapsed = this.context.environment.clock.now() - this.startedAt;
-    return longestConnect(this.targetLatency, this.race.wasOffered ? undefined : elapsed);
+    return connectTimeout(this.targetLatency, this.race.wasSent ? undefined : elapsed);
   };
 
   private readonly refuseIfNotAttempted = (): void => {
@@ -90,7 +90,7 @@
 
   private readonly refuseIfUnconnected = (): void => {
     const isBounded = this.context.mechanisms.boundedConnecting;
-    if (isBounded && !this.race.wasOffered) this.giveUp('no connection to a replica in time');
+    if (isBounded && !this.race.wasSent) this.giveUp('no connection to a replica in time');
   };
 
   private readonly onHedgeDelay = (): void => {
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -84,7 +84,7 @@
     const evacuations = new EvacuationsInForce(this.context, this.logger);
     observe(this.client.evacuations, (evacuation) => evacuations.take(evacuation));
     this.tenants.observeControllers();
-    observe(this.client.quarantine, (entry) => this.context.crashGuard.take(entry));
+    observe(this.client.quarantine, (entry) => this.context.crashGuard.applyEntry(entry));
   }
 
   /**
--- a/src/gateway/gateway-endpoint.ts
+++ b/src/gateway/gateway-endpoint.ts
@@ -10,7 +10,7 @@
 import type { Tenant } from '../tenants/tenant.js';
 import { authenticate, KEY_PROBLEM_REASONS, type KeyProblem } from './authentication.js';
 import type { CallerRequest } from './caller-request.js';
-import { longestUnsent } from './connect-bounds.js';
+import { sendTimeout } from './connect-timeouts.js';
 import { FanOut, type PlanSources } from './fan-out.js';
 import { endToEndHeaders } from './forwarded-headers.js';
 import { CALLER_GONE, forwardSingle } from './forward-single.js';
@@ -108,7 +108,7 @@
     const callerRequest = this.toCallerRequest(request, { table, route, tenant }, receivedAt);
     const { fingerprint } = callerRequest;
     if (this.context.crashGuard.isQuarantined(fingerprint)) {
-      this.context.crashGuard.noteRefusal();
+      this.context.crashGuard.recordRefusal();
       return this.reject(request, GatewayRefusal.Quarantined, QUARANTINED, { fingerprint });
     }
     if (tenant === undefined) return this.forward(callerRequest);
@@ -129,7 +129,7 @@
       });
     }
     const { receivedAt, route, signal } = callerRequest;
-    const taken = quota.take(tenant, receivedAt + longestUnsent(targetLatencyOf(route)));
+    const taken = quota.take(tenant, receivedAt + sendTimeout(targetLatencyOf(route)));
     const decision = taken instanceof Promise ? await taken : taken;
     if (!decision.isAdmitted) {
       const { retryAfterMs } = decision;
@@ -137,12 +137,12 @@
       return this.reject(request, GatewayRefusal.RateLimited, reason, { retryAfterMs });
     }
     if (signal.aborted) {
-      quota.giveBack(tenant, this.context.environment.clock.now());
+      quota.returnToken(tenant, this.context.environment.clock.now());
       return this.reject(request, GatewayRefusal.NotRun, CALLER_GONE);
     }
     const takenAt = this.context.environment.clock.now();
     const response = await this.forward(callerRequest);
-    if (this.isCertainlyNotRun(response)) quota.giveBack(tenant, takenAt);
+    if (this.isCertainlyNotRun(response)) quota.returnToken(tenant, takenAt);
     return response;
   }
 
--- a/src/gateway/gateway-maintenance.ts
+++ b/src/gateway/gateway-maintenance.ts
@@ -45,7 +45,7 @@
       clock,
       random,
       targets: () => aggregation.preferredTargets(),
-      isWorthIt: (service) => this.shouldKeepWarm(service),
+      shouldKeepWarm: (service) => this.shouldKeepWarm(service),
       warmupHeader: context.headers.warmup,
       healthPath: (service) => endpoint.table?.service(service)?.healthPath ?? '/health',
       stopped,
--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -52,14 +52,16 @@
   /** Subscribes to the controllers' confirmations of lease renewals. Call it once. */
   observeControllers(): void {
     const { followed, confirmations } = this.options.client;
-    observe(followed, () => this.leaseRenewal?.noteFollowed());
-    observe(confirmations, ({ number, version }) => this.leaseRenewal?.takeAnswer(number, version));
+    observe(followed, () => this.leaseRenewal?.handleControllerConnected());
+    observe(confirmations, ({ number, version }) =>
+      this.leaseRenewal?.handleConfirmation(number, version),
+    );
   }
 
   /** Applies a route table that has come into force: its version, and its tenants' limits. */
   useTable(table: RouteTable): void {
-    this.leaseRenewal?.useTable(table);
-    this.gatewayQuota?.useTenants(table.tenants);
+    this.leaseRenewal?.setRouteTable(table);
+    this.gatewayQuota?.connectIfLimited(table.tenants);
   }
 
   /** Renews the lease until the gateway stops. */
--- a/src/gateway/overload-shedding.ts
+++ b/src/gateway/overload-shedding.ts
@@ -8,50 +8,50 @@
 import type { ReportedLoad } from './reported-load.js';
 
 /** Reports after which the admitted part is reckoned afresh. */
-const WINDOW_REPORTS = 100;
+const REPORTS_PER_WINDOW = 100;
 /** Above this share of reports with a long queue the admitted part is multiplied by a factor. */
-const HEAVY_SHARE = 0.6;
-const HEAVY_FACTOR = 0.82;
+const OVERLOADED_FRACTION = 0.6;
+const DECREASE_FACTOR = 0.82;
 /** Below this share the admitted part grows by a step. */
-const LIGHT_SHARE = 0.35;
-const GROWTH_STEP = 0.12;
-const LEAST_ADMITTED = 0.3;
+const UNLOADED_FRACTION = 0.35;
+const INCREASE_STEP = 0.12;
+const MINIMUM_ADMITTED = 0.3;
 /** Of two requests the less urgent is refused a little more often for each rank. */
-const RANK_PART = 0.04;
+const PRIORITY_STEP = 0.04;
 
 /** Weight of one leaf's word: each speaks for a part of the shards. */
-const LEARNED_WEIGHT = 0.15;
+const LEAF_WEIGHT = 0.15;
 
 /** Of one set of shards. */
-class SetLoad {
+class ShardSetLoad {
   admitted = 1;
   private reports = 0;
   private longQueues = 0;
 
   /** What a leaf admits for some of the shards moves the whole set by a part. */
-  learn(admitted: number): void {
-    this.admitted += (admitted - this.admitted) * LEARNED_WEIGHT;
+  mergeAdmitted(admitted: number): void {
+    this.admitted += (admitted - this.admitted) * LEAF_WEIGHT;
   }
 
-  note({ waiting, slots }: ReportedLoad): void {
+  recordLoad({ waiting, slots }: ReportedLoad): void {
     this.reports += 1;
     if (waiting >= Math.max(1, slots)) this.longQueues += 1;
-    if (this.reports < WINDOW_REPORTS) return;
+    if (this.reports < REPORTS_PER_WINDOW) return;
     this.adjust(this.longQueues / this.reports);
     this.reports = 0;
     this.longQueues = 0;
   }
 
-  private adjust(share: number): void {
-    if (share > HEAVY_SHARE) this.admitted *= HEAVY_FACTOR;
-    else if (share < LIGHT_SHARE) this.admitted += GROWTH_STEP;
-    this.admitted = Math.min(1, Math.max(LEAST_ADMITTED, this.admitted));
+  private adjust(longQueueFraction: number): void {
+    if (longQueueFraction > OVERLOADED_FRACTION) this.admitted *= DECREASE_FACTOR;
+    else if (longQueueFraction < UNLOADED_FRACTION) this.admitted += INCREASE_STEP;
+    this.admitted = Math.min(1, Math.max(MINIMUM_ADMITTED, this.admitted));
   }
 }
 
 /** See the module comment. */
 export class OverloadShedding {
-  private readonly sets = new Map<string, SetLoad>();
+  private readonly sets = new Map<string, ShardSetLoad>();
 
   constructor(private readonly random: RandomSource) {}
 
@@ -59,12 +59,12 @@
   admits(firstShard: string, priority: number): boolean {
     const admitted = this.admittedPart(firstShard);
     if (admitted >= 1) return true;
-    return this.random.nextFloat() < admitted - RANK_PART * priority;
+    return this.random.nextFloat() < admitted - PRIORITY_STEP * priority;
   }
 
   /** A replica of the set told its load. */
-  note(firstShard: string, load: ReportedLoad): void {
-    this.setOf(firstShard).note(load);
+  recordLoad(firstShard: string, load: ReportedLoad): void {
+    this.setOf(firstShard).recordLoad(load);
   }
 
   /** Part of the requests to the set that is taken on. */
@@ -73,14 +73,14 @@
   }
 
   /** Another gateway, which asks some shards of the set, takes on this part. */
-  learn(firstShard: string, admittedPart: number): void {
-    this.setOf(firstShard).learn(Math.min(1, Math.max(LEAST_ADMITTED, admittedPart)));
+  mergeAdmittedPart(firstShard: string, admittedPart: number): void {
+    this.setOf(firstShard).mergeAdmitted(Math.min(1, Math.max(MINIMUM_ADMITTED, admittedPart)));
   }
 
-  private setOf(firstShard: string): SetLoad {
+  private setOf(firstShard: string): ShardSetLoad {
     const known = this.sets.get(firstShard);
     if (known !== undefined) return known;
-    const set = new SetLoad();
+    const set = new ShardSetLoad();
     this.sets.set(firstShard, set);
     return set;
   }
--- a/src/gateway/replica-end.ts
+++ b/src/gateway/replacement-signal.ts
@@ -8,26 +8,26 @@
  * What the replica wrote before its end arrives within this time of the proof that it ended.
  * Milliseconds.
  */
-export const LAST_WORDS_MS = 250;
+export const REPLACED_REPLICA_GRACE_MS = 250;
 
 /** See the module comment. Of one replica. */
-export class ReplicaEnd {
-  private waiting = new Set<() => void>();
+export class ReplacementSignal {
+  private callbacks = new Set<() => void>();
 
   /** Calls `callback` once when another replica is known to have the address. */
   once(callback: () => void): void {
-    this.waiting.add(callback);
+    this.callbacks.add(callback);
   }
 
   /** The callback is no longer wanted. */
   cancel(callback: () => void): void {
-    this.waiting.delete(callback);
+    this.callbacks.delete(callback);
   }
 
   /** Another replica has the address. */
-  note(): void {
-    const { waiting } = this;
-    this.waiting = new Set();
-    for (const callback of waiting) callback();
+  emit(): void {
+    const { callbacks: callbacks } = this;
+    this.callbacks = new Set();
+    for (const callback of callbacks) callback();
   }
 }
--- a/src/gateway/replica-attempt.ts
+++ b/src/gateway/replica-attempt.ts
@@ -3,17 +3,17 @@
 import { NotRunReason, REPLICA_ENDED, type AttemptResult } from './attempt-result.js';
 import type { CallerRequest } from './caller-request.js';
 import type { GatewayContext } from './gateway-context.js';
-import { LAST_WORDS_MS } from './replica-end.js';
+import { REPLACED_REPLICA_GRACE_MS } from './replacement-signal.js';
 import type { ReplicaTarget } from './replica-target.js';
-import type { Sending } from './send-attempt.js';
+import type { SendOptions } from './attempt-sender.js';
 
 /**
  * Longest time that an attempt goes on after its answer is not wanted any more: a pause of a
  * replica, and far less than the half second in which a caller's leaving has to reach it. Milliseconds.
  */
-const LINGER_MS = 200;
+const LINGER_TIMEOUT_MS = 200;
 /** Why attempts are aborted. One for all: an error made for each would cost more than the abort. */
-const NOT_WANTED = new Error('the answer is not wanted any more');
+const ABANDONED_ERROR = new Error('the answer is not wanted any more');
 
 /** What is sent, where to and how. */
 export interface ReplicaAttemptOptions {
@@ -22,20 +22,20 @@
   /** The only sending of a suspected request from here. */
   readonly isTrial: boolean;
   /** Whether it is given up when another replica has the address. */
-  readonly leavesEndedReplica: boolean;
+  readonly abortsOnReplacement: boolean;
   /** Longest wait for a connection; that of the client alone when undefined. Milliseconds. */
-  readonly connectWithin: number | undefined;
+  readonly connectTimeout: number | undefined;
   /** Time between two sendings to the replica while it is cold. Milliseconds. */
-  readonly coldSlotLength: number;
+  readonly coldSendInterval: number;
 }
 
 /** See the module comment. */
 export class ReplicaAttempt {
   readonly record: AttemptRecord;
-  private readonly abortion = new AbortController();
-  private isOver = false;
+  private readonly abortController = new AbortController();
+  private hasEnded = false;
   /** Given up because another replica has the address. */
-  private hasReplicaEnded = false;
+  private wasReplicaReplaced = false;
 
   constructor(
     private readonly context: GatewayContext,
@@ -68,22 +68,22 @@
   start(onResult: (result: AttemptResult) => void): void {
     const { target, isTrial, options } = this;
     const number = target.begin(this.record.sentAt);
-    target.coldSends.use(this.record.sentAt, options.coldSlotLength);
-    target.warmChecks = 0;
-    if (isTrial) target.trials += 1;
-    if (options.leavesEndedReplica) target.ending.once(this.onReplicaEnded);
-    void this.context.sender.send(options.request, target, this.sending).then((result) => {
-      target.ending.cancel(this.onReplicaEnded);
+    target.coldSendLimiter.recordSend(this.record.sentAt, options.coldSendInterval);
+    target.unusedChecks = 0;
+    if (isTrial) target.trialsInFlight += 1;
+    if (options.abortsOnReplacement) target.replacement.once(this.onReplicaReplaced);
+    void this.context.sender.send(options.request, target, this.sendOptions).then((result) => {
+      target.replacement.cancel(this.onReplicaReplaced);
       target.end(number);
-      if (isTrial) target.trials -= 1;
-      this.isOver = true;
-      onResult(this.hasReplicaEnded ? this.resultAtEnded(result) : result);
+      if (isTrial) target.trialsInFlight -= 1;
+      this.hasEnded = true;
+      onResult(this.wasReplicaReplaced ? this.resultAfterReplacement(result) : result);
     });
   }
 
   /** Ends it at once. */
   abort(): void {
-    this.abortion.abort(NOT_WANTED);
+    this.abortController.abort(ABANDONED_ERROR);
   }
 
   /**
@@ -91,7 +91,7 @@
    * the next request a new connection. A replica without a queue is left to answer for a moment
    * instead.
    */
-  letGo(): void {
+  abandon(): void {
     const { load } = this.target;
     const hasQueue = load !== undefined && load.waiting > 0;
     // One that is not written yet must never be: its caller may be told that it was not run.
@@ -101,31 +101,31 @@
       return;
     }
     const { clock } = this.context.environment;
-    clock.setTimer(LINGER_MS, () => this.abort());
+    clock.setTimer(LINGER_TIMEOUT_MS, () => this.abort());
   }
 
-  private get sending(): Sending {
+  private get sendOptions(): SendOptions {
     const { clock } = this.context.environment;
     return {
-      signal: this.abortion.signal,
-      connectWithin: this.options.connectWithin,
+      signal: this.abortController.signal,
+      connectTimeout: this.options.connectTimeout,
       onSent: () => (this.record.connectedAt = clock.now()),
     };
   }
 
   /** Gives it up once what the replica wrote before its end is here; not where its loss was false word. */
-  private readonly onReplicaEnded = (): void => {
+  private readonly onReplicaReplaced = (): void => {
     const { clock } = this.context.environment;
-    clock.setTimer(LAST_WORDS_MS, () => {
+    clock.setTimer(REPLACED_REPLICA_GRACE_MS, () => {
       const isLost = this.target.hasLostAddress(clock.now());
-      if (!isLost || this.isOver) return;
-      this.hasReplicaEnded = true;
+      if (!isLost || this.hasEnded) return;
+      this.wasReplicaReplaced = true;
       this.abort();
     });
   };
 
   /** Of an attempt that was given up because another replica has the address. */
-  private resultAtEnded(result: AttemptResult): AttemptResult {
+  private resultAfterReplacement(result: AttemptResult): AttemptResult {
     if (result.kind !== 'cancelled') return result;
     if (this.isConnected) return { kind: 'broken', reason: REPLICA_ENDED };
     return { kind: 'notRun', reason: NotRunReason.Unreachable };
--- a/src/gateway/replica-candidates.ts
+++ b/src/gateway/replica-candidates.ts
@@ -10,13 +10,13 @@
   readonly service: string;
   readonly latency: RouteLatency;
   /** Part of the request's worth that is lost when this service does not answer in time; at most 1. */
-  readonly stake: number;
+  readonly valueFraction: number;
 }
 
 /** See the module comment. */
 export class ReplicaCandidates {
   /** Replicas that are not asked again, or not before the next pause. */
-  private readonly asked = new Set<ReplicaTarget>();
+  private readonly tried = new Set<ReplicaTarget>();
   private readonly notRunBy = new Set<ReplicaTarget>();
 
   constructor(
@@ -26,13 +26,13 @@
   ) {}
 
   /** Where no replica is known, none will have room; only a gateway that has just started may learn of one. */
-  get mayExist(): boolean {
-    return this.permitted.length > 0 || this.context.targets.isLearning;
+  get mayBecomeAvailable(): boolean {
+    return this.permitted.length > 0 || this.context.targets.isDiscovering;
   }
 
   /** The best replica that was not asked; undefined when none can take it. */
   choose(): ReplicaTarget | undefined {
-    return this.chooseExcept(this.asked);
+    return this.chooseExcept(this.tried);
   }
 
   /**
@@ -40,24 +40,26 @@
    * one replica would both be blamed when it ends.
    */
   chooseForTrial(target: ReplicaTarget): ReplicaTarget {
-    if (target.trials === 0) return target;
-    const onTrial = this.permitted.filter(({ trials }) => trials > 0);
-    return this.chooseExcept(new Set([...this.asked, ...onTrial])) ?? target;
+    if (target.trialsInFlight === 0) return target;
+    const onTrial = this.permitted.filter(
+      ({ trialsInFlight: trialsInFlight }) => trialsInFlight > 0,
+    );
+    return this.chooseExcept(new Set([...this.tried, ...onTrial])) ?? target;
   }
 
   /** It is sent to the replica now, which is not chosen again. */
-  noteAsked(target: ReplicaTarget): void {
-    this.asked.add(target);
+  markTried(target: ReplicaTarget): void {
+    this.tried.add(target);
   }
 
   /** The replica did not run it, and may do so after a pause. */
-  noteNotRun(target: ReplicaTarget): void {
+  markNotRun(target: ReplicaTarget): void {
     this.notRunBy.add(target);
   }
 
   /** Replicas that did not run it may be chosen again. */
   readmitNotRun(): void {
-    for (const target of this.notRunBy) this.asked.delete(target);
+    for (const target of this.notRunBy) this.tried.delete(target);
     this.notRunBy.clear();
   }
 
@@ -70,15 +72,15 @@
   private chooseExcept(excluded: ReadonlySet<ReplicaTarget>): ReplicaTarget | undefined {
     const { choice, shares } = this.context;
     const { table, route } = this.request;
-    const { service, latency, stake } = this.options;
+    const { service, latency, valueFraction: valueFraction } = this.options;
     return choice.choose({
       targets: this.permitted,
       excluded,
-      usualLatency: latency.usual,
+      medianLatency: latency.median,
       targetLatency: targetLatencyOf(route),
-      stake,
-      maximumInFlight: shares.connectionsFor(table, service),
-      coldSlotLength: shares.coldSlotLength(table, service),
+      valueFraction: valueFraction,
+      maximumInFlight: shares.maximumInFlight(table, service),
+      coldSendInterval: shares.coldSendInterval(table, service),
     });
   }
 }
--- a/src/gateway/replica-choice.ts
+++ b/src/gateway/replica-choice.ts
@@ -19,11 +19,11 @@
  * Most that a sending to another zone counts for, as a part of what is lost when the answer is
  * late: a near replica that is expected to take more than half of the target is left for it.
  */
-const DISTANCE_PART_OF_STAKE = 0.3;
+const MAXIMUM_ZONE_COST_FRACTION = 0.3;
 /** A warming replica takes this many times as long. */
 const WARMUP_FACTOR = 1.6;
 /** Spread of chance, so that gateways that know the same do not all choose the same. */
-const CHANCE_FACTOR = 0.1;
+const JITTER_FACTOR = 0.1;
 /** An attempt in flight that waits longer than this many usual times shows a pause. */
 const STALL_RATIO = 3;
 const STALL_FACTOR = 4;
@@ -41,19 +41,19 @@
   /** Replicas that are not to be asked. */
   readonly excluded: ReadonlySet<ReplicaTarget>;
   /** Usual time of an answer. */
-  readonly usualLatency: number;
+  readonly medianLatency: number;
   /** Time within which the request is to be answered. */
   readonly targetLatency: number;
   /** Part of the request's worth that is lost when this one answer is late; at most 1. */
-  readonly stake: number;
+  readonly valueFraction: number;
   /** Most attempts in flight from here to one replica. */
   readonly maximumInFlight: number;
   /** See `ColdSendSlots`; Infinity where cold replicas get as many requests as others. */
-  readonly coldSlotLength: number;
+  readonly coldSendInterval: number;
 }
 
 /** How long work takes at the replica over what is usual there, as far as its last word still holds. */
-function reportedWorkFactor({ load }: ReplicaTarget, now: number): number {
+function decayedWorkFactor({ load }: ReplicaTarget, now: number): number {
   if (load === undefined) return 1;
   const weight = 0.5 ** ((now - load.at) / WORK_HALF_LIFE_MS);
   return 1 + (load.workFactor - 1) * weight;
@@ -77,9 +77,9 @@
     for (const target of query.targets) {
       if (query.excluded.has(target) || target.isReplaced(now)) continue;
       if (target.inFlight >= query.maximumInFlight) continue;
-      if (this.isClosedWhileCold(target, query, now)) continue;
-      const isResting = this.mechanisms.resting && target.isResting(now);
-      if (isResting || now < target.fullUntil) {
+      if (this.isColdLimited(target, query, now)) continue;
+      const isBackingOff = this.mechanisms.resting && target.isBackingOff(now);
+      if (isBackingOff || now < target.fullUntil) {
         lastResort ??= target;
         continue;
       }
@@ -89,26 +89,26 @@
     return best ?? lastResort;
   }
 
-  private isClosedWhileCold(
-    { warmUntil, coldSends }: ReplicaTarget,
-    { coldSlotLength }: ChoiceQuery,
+  private isColdLimited(
+    { coldUntil: coldUntil, coldSendLimiter: coldSendLimiter }: ReplicaTarget,
+    { coldSendInterval: coldSendInterval }: ChoiceQuery,
     now: number,
   ): boolean {
-    const isBounded = now < warmUntil && Number.isFinite(coldSlotLength);
-    return isBounded && !coldSends.isOpen(now, coldSlotLength);
+    const isBounded = now < coldUntil && Number.isFinite(coldSendInterval);
+    return isBounded && !coldSendLimiter.allows(now, coldSendInterval);
   }
 
   /** As a part of the worth of one request in time. */
   private cost(target: ReplicaTarget, query: ChoiceQuery, now: number): number {
-    const isNear = target.entry.zone === this.placement.zone;
-    const distanceCost = isNear ? 0 : this.distanceCost(query);
-    const chance = 1 + CHANCE_FACTOR * this.random.nextFloat();
-    return this.latenessCost(target, query, now) * chance + distanceCost;
+    const isSameZone = target.entry.zone === this.placement.zone;
+    const zoneCost = isSameZone ? 0 : this.zoneCost(query);
+    const jitter = 1 + JITTER_FACTOR * this.random.nextFloat();
+    return this.latenessCost(target, query, now) * jitter + zoneCost;
   }
 
   /** Of one shard of many little is lost when its answer is late, and still more than the way costs. */
-  private distanceCost({ stake }: ChoiceQuery): number {
-    return Math.min(this.placement.otherZoneCost, stake * DISTANCE_PART_OF_STAKE);
+  private zoneCost({ valueFraction: valueFraction }: ChoiceQuery): number {
+    return Math.min(this.placement.otherZoneCost, valueFraction * MAXIMUM_ZONE_COST_FRACTION);
   }
 
   /**
@@ -116,18 +116,18 @@
    * as the expected time comes near the target: it grows with its square.
    */
   private latenessCost(target: ReplicaTarget, query: ChoiceQuery, now: number): number {
-    const { usualLatency, targetLatency, stake } = query;
-    const expectedTime = usualLatency * this.expectedFactor(target, usualLatency, now);
-    return stake * (expectedTime / targetLatency) ** 2;
+    const { medianLatency: medianLatency, targetLatency, valueFraction: valueFraction } = query;
+    const expectedTime = medianLatency * this.latencyFactor(target, medianLatency, now);
+    return valueFraction * (expectedTime / targetLatency) ** 2;
   }
 
   /** Expected time until the answer, in usual times. */
-  private expectedFactor(target: ReplicaTarget, usualLatency: number, now: number): number {
+  private latencyFactor(target: ReplicaTarget, medianLatency: number, now: number): number {
     let factor = this.queueFactor(target, now);
-    if (this.mechanisms.workReports) factor *= reportedWorkFactor(target, now);
+    if (this.mechanisms.workReports) factor *= decayedWorkFactor(target, now);
     if (this.mechanisms.slowness) factor *= target.slownessAt(now);
-    if (now < target.warmUntil) factor *= WARMUP_FACTOR;
-    const isStalled = target.oldestWait(now) > STALL_RATIO * usualLatency;
+    if (now < target.coldUntil) factor *= WARMUP_FACTOR;
+    const isStalled = target.oldestWait(now) > STALL_RATIO * medianLatency;
     if (this.mechanisms.stalls && isStalled) factor *= STALL_FACTOR;
     return factor;
   }
--- a/src/gateway/replica-race.ts
+++ b/src/gateway/replica-race.ts
@@ -3,8 +3,8 @@
  * that fails or is late, and takes the first whole answer. A request that is not
  * repeatable is sent on only when it certainly was not run.
  */
-import { Admission } from '../quarantine/crash-guard.js';
-import { noteEvidence } from './attempt-evidence.js';
+import { CrashGuardDecision } from '../quarantine/crash-guard.js';
+import { recordCrashEvidence } from './attempt-evidence.js';
 import { observeAttempt } from './attempt-observer.js';
 import type { AttemptRecord } from './attempt-record.js';
 import type { AttemptResult } from './attempt-result.js';
@@ -22,22 +22,22 @@
 import type { RouteLatency } from './route-latency.js';
 
 /** Pause before replicas that could not take it are tried again; doubled each time. Milliseconds. */
-const FIRST_RETRY_PAUSE_MS = 12;
+const FIRST_RETRY_DELAY_MS = 12;
 
 /** What is asked, and how. */
 export interface ReplicaRaceOptions {
   readonly service: string;
   readonly latency: RouteLatency;
   /** Part of the request's worth that is lost when this service does not answer in time; at most 1. */
-  readonly stake: number;
+  readonly valueFraction: number;
   /** The request may have been sent to the service by another gateway: the budget is asked first. */
   readonly isRepeat: boolean;
   /** Until when replicas that could not take it are tried again. Clock reading. */
-  readonly retryUntil: number;
+  readonly retryDeadline: number;
   /** Whether an attempt is given up when another replica has the address; absent: it is not. */
-  readonly leavesEndedReplicas?: boolean;
+  readonly abortsOnReplacement?: boolean;
   /** Longest wait for a connection of a sending that begins now; absent: the client's own. Milliseconds. */
-  readonly connectWithin?: (() => number) | undefined;
+  readonly connectTimeout?: (() => number) | undefined;
   /** Asked before a further sending beside or after one that may have run; absent: always allowed. */
   readonly maySendAgain?: (() => boolean) | undefined;
   readonly onEnd: (race: ReplicaRace) => void;
@@ -48,11 +48,11 @@
   outcome: RaceOutcome | undefined;
   /** Sendings so far, in their order. */
   readonly attempts: AttemptRecord[] = [];
-  private readonly live = new Set<ReplicaAttempt>();
+  private readonly inFlight = new Set<ReplicaAttempt>();
   private readonly candidates: ReplicaCandidates;
   private readonly tally = new AttemptTally();
   private retryTimer: Timer | undefined;
-  private pauses = 0;
+  private retryDelays = 0;
   private lastResult: AttemptResult | undefined;
 
   constructor(
@@ -70,7 +70,7 @@
 
   /** Sends for the first time, or as soon as a replica has room. */
   start(): void {
-    if (!this.options.isRepeat) this.context.shares.noteRequest(this.service);
+    if (!this.options.isRepeat) this.context.shares.recordRequest(this.service);
     this.begin();
   }
 
@@ -82,21 +82,22 @@
 
   private begin(): void {
     if (this.options.isRepeat) {
-      if (!this.launchAgain(this.context.shares)) this.finish(this.failure());
+      if (!this.startFurtherAttempt(this.context.shares)) this.finish(this.failure());
       return;
     }
-    if (this.launch()) return;
-    const mayFindRoom = this.context.mechanisms.waitForRoom && this.candidates.mayExist;
-    if (mayFindRoom) this.waitForRoom();
+    if (this.startFirstAttempt()) return;
+    const mayWait = this.context.mechanisms.waitForRoom && this.candidates.mayBecomeAvailable;
+    if (mayWait) this.waitForCapacity();
     else this.finish(this.failure());
   }
 
   /** Sends to another replica as well, when the budget has room; true when it did. */
   hedge(): boolean {
     const isOver = this.outcome !== undefined || !this.context.mechanisms.hedging;
-    if (isOver || this.request.route.execution !== 'repeatable' || !this.mayRunMore) return false;
+    if (isOver || this.request.route.execution !== 'repeatable' || !this.hasAttemptsLeft)
+      return false;
     if (this.context.crashGuard.isSuspected(this.request.fingerprint)) return false;
-    return this.launchAgain(this.context.shares);
+    return this.startFurtherAttempt(this.context.shares);
   }
 
   /** Sendings so far. */
@@ -106,87 +107,89 @@
 
   /** Ends the race and every attempt that is still in flight; `reason` stands where there is none. */
   cancel(reason: string): void {
-    if (this.live.size > 0) this.tally.reason = reason;
+    if (this.inFlight.size > 0) this.tally.reason = reason;
     this.outcome ??= this.failure();
-    this.abortLive();
+    this.abandonInFlight();
   }
 
   /** Whether a request that is given up now may have run, or may still run. */
   get mayRun(): boolean {
-    return this.tally.mayHaveRun || [...this.live].some(({ isConnected }) => isConnected);
+    return this.tally.mayHaveRun || [...this.inFlight].some(({ isConnected }) => isConnected);
   }
 
   /** Whether it was written to a connection to some replica. */
-  get wasOffered(): boolean {
+  get wasSent(): boolean {
     return this.attempts.some(({ connectedAt }) => connectedAt !== undefined);
   }
 
-  private get mayRunMore(): boolean {
-    return this.tally.possibleRuns + this.live.size < this.request.route.maximumAttempts;
+  private get hasAttemptsLeft(): boolean {
+    return this.tally.possibleRuns + this.inFlight.size < this.request.route.maximumAttempts;
   }
 
-  private readonly onRoom = (): void => {
-    if (this.outcome === undefined && this.live.size === 0 && !this.launch()) this.waitForRoom();
+  private readonly onCapacity = (): void => {
+    if (this.outcome === undefined && this.inFlight.size === 0 && !this.startFirstAttempt())
+      this.waitForCapacity();
   };
 
-  private waitForRoom(): void {
-    this.context.targets.onceRoom(this.service, this.onRoom);
+  private waitForCapacity(): void {
+    this.context.targets.onceCapacity(this.service, this.onCapacity);
   }
 
   /**
    * Sends to a further replica; `budget` is asked for it unless what came before never arrived.
    * True when it was sent, waits for a trial of the request, or is refused for good.
    */
-  private launchAgain(budget: FleetShares | undefined): boolean {
+  private startFurtherAttempt(budget: FleetShares | undefined): boolean {
     const target = this.candidates.choose();
-    if (target === undefined || !this.isFurtherSendAllowed) return false;
-    return this.sendAdmitted(target, budget);
+    if (target === undefined || !this.isFurtherAttemptAllowed) return false;
+    return this.sendIfAdmitted(target, budget);
   }
 
-  private get isFurtherSendAllowed(): boolean {
-    const isFirst = this.tally.possibleRuns + this.live.size === 0;
+  private get isFurtherAttemptAllowed(): boolean {
+    const isFirst = this.tally.possibleRuns + this.inFlight.size === 0;
     return isFirst || this.options.maySendAgain?.() !== false;
   }
 
-  /** For the first time; as {@link ReplicaRace.launchAgain}. */
-  private launch(): boolean {
+  /** For the first time; as {@link ReplicaRace.startFurtherAttempt}. */
+  private startFirstAttempt(): boolean {
     const target = this.candidates.choose();
-    return target !== undefined && this.sendAdmitted(target, undefined);
+    return target !== undefined && this.sendIfAdmitted(target, undefined);
   }
 
-  private sendAdmitted(target: ReplicaTarget, budget: FleetShares | undefined): boolean {
+  private sendIfAdmitted(target: ReplicaTarget, budget: FleetShares | undefined): boolean {
     const { crashGuard } = this.context;
     const { fingerprint } = this.request;
-    const admission = crashGuard.admit(fingerprint, this.onNews);
-    if (admission === Admission.Wait) return true;
-    if (admission === Admission.Refused) {
-      this.giveUpQuarantined();
+    const admission = crashGuard.admit(fingerprint, this.onQuarantineUpdate);
+    if (admission === CrashGuardDecision.Wait) return true;
+    if (admission === CrashGuardDecision.Refused) {
+      this.failQuarantined();
       return true;
     }
-    const isTrial = admission === Admission.Trial;
-    const isPaid = budget === undefined || budget.takeSecondSend(this.service);
-    if (isPaid) this.send(isTrial ? this.candidates.chooseForTrial(target) : target, isTrial);
-    else if (isTrial) crashGuard.returnTrial(fingerprint, this.onNews);
-    return isPaid;
+    const isTrial = admission === CrashGuardDecision.Trial;
+    const isWithinBudget = budget === undefined || budget.takeExtraAttempt(this.service);
+    if (isWithinBudget)
+      this.send(isTrial ? this.candidates.chooseForTrial(target) : target, isTrial);
+    else if (isTrial) crashGuard.cancelTrial(fingerprint, this.onQuarantineUpdate);
+    return isWithinBudget;
   }
 
   /** What is in flight ends at once: a replica that drops it in time does not end under it. */
-  private giveUpQuarantined(): void {
+  private failQuarantined(): void {
     this.tally.reason = QUARANTINED;
     const outcome = this.failure();
-    for (const attempt of this.live) attempt.abort();
+    for (const attempt of this.inFlight) attempt.abort();
     this.finish(outcome);
   }
 
   /** A trial of the request has ended, or it was cleared or quarantined. */
-  private readonly onNews = (): void => {
+  private readonly onQuarantineUpdate = (): void => {
     if (this.outcome !== undefined) return;
     const { crashGuard } = this.context;
     const { fingerprint } = this.request;
-    if (crashGuard.isQuarantined(fingerprint)) this.giveUpQuarantined();
-    else if (this.live.size > 0) crashGuard.onceNews(fingerprint, this.onNews);
+    if (crashGuard.isQuarantined(fingerprint)) this.failQuarantined();
+    else if (this.inFlight.size > 0) crashGuard.onceChanged(fingerprint, this.onQuarantineUpdate);
     else if (this.lastResult === undefined) this.begin();
-    else this.goOn(this.lastResult);
+    else this.continueAfter(this.lastResult);
   };
 
   private send(target: ReplicaTarget, isTrial: boolean): void {
@@ -195,21 +198,21 @@
       request,
       target,
       isTrial,
-      leavesEndedReplica: options.leavesEndedReplicas === true,
-      connectWithin: options.connectWithin?.(),
-      coldSlotLength: this.context.shares.coldSlotLength(request.table, this.service),
+      abortsOnReplacement: options.abortsOnReplacement === true,
+      connectTimeout: options.connectTimeout?.(),
+      coldSendInterval: this.context.shares.coldSendInterval(request.table, this.service),
     });
     this.attempts.push(attempt.record);
-    this.candidates.noteAsked(target);
-    this.live.add(attempt);
+    this.candidates.markTried(target);
+    this.inFlight.add(attempt);
     attempt.start((result) => {
-      this.live.delete(attempt);
-      this.take(attempt, result);
-      this.context.targets.notifyRoom(this.service);
+      this.inFlight.delete(attempt);
+      this.handleResult(attempt, result);
+      this.context.targets.notifyCapacity(this.service);
     });
   }
 
-  private take(attempt: ReplicaAttempt, result: AttemptResult): void {
+  private handleResult(attempt: ReplicaAttempt, result: AttemptResult): void {
     const { target, record, isTrial } = attempt;
     this.lastResult = result;
     record.endedAt = this.context.environment.clock.now();
@@ -219,37 +222,38 @@
       this.context.decisions.logConnectionLost(this.request, this.service, record);
     }
     // Its own result is no news to it: woken for it, it would go on before it has taken it.
-    if (isTrial) this.context.crashGuard.cancelNews(this.request.fingerprint, this.onNews);
-    noteEvidence(this.context, { request: this.request, target, result, isTrial });
+    if (isTrial)
+      this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onQuarantineUpdate);
+    recordCrashEvidence(this.context, { request: this.request, target, result, isTrial });
     if (result.kind === 'answered') {
       if (this.outcome === undefined) this.finish({ kind: 'answered', answer: result.answer });
       return;
     }
-    this.note(target, result);
-    if (this.outcome === undefined) this.goOn(result);
+    this.recordUnanswered(target, result);
+    if (this.outcome === undefined) this.continueAfter(result);
   }
 
-  private note(target: ReplicaTarget, result: UnansweredResult): void {
-    this.tally.note(result);
+  private recordUnanswered(target: ReplicaTarget, result: UnansweredResult): void {
+    this.tally.record(result);
     const mayRunLater = result.kind === 'notRun' && result.reason !== NotRunReason.WrongReplica;
-    if (mayRunLater) this.candidates.noteNotRun(target);
+    if (mayRunLater) this.candidates.markNotRun(target);
   }
 
   /** After an attempt that brought no answer: another one, the wait for those in flight, or the end. */
-  private goOn(result: AttemptResult): void {
-    if (this.maySendAfter(result)) {
-      if (this.launchAgain(this.budgetAfter(result))) return;
-      if (this.live.size === 0 && this.retryLater(result)) return;
+  private continueAfter(result: AttemptResult): void {
+    if (this.mayRetryAfter(result)) {
+      if (this.startFurtherAttempt(this.budgetAfter(result))) return;
+      if (this.inFlight.size === 0 && this.scheduleRetry(result)) return;
     }
-    if (this.live.size === 0) this.finish(this.failure());
+    if (this.inFlight.size === 0) this.finish(this.failure());
   }
 
-  private maySendAfter(result: AttemptResult): boolean {
+  private mayRetryAfter(result: AttemptResult): boolean {
     if (!this.context.mechanisms.retries) return false;
     const wasNotRun = result.kind === 'notRun';
     const isRepeatable = this.request.route.execution === 'repeatable';
-    const isAllowed = wasNotRun ? this.tally.isWithinRefusals : isRepeatable;
-    return isAllowed && this.mayRunMore;
+    const isAllowed = wasNotRun ? this.tally.isWithinRefusalLimit : isRepeatable;
+    return isAllowed && this.hasAttemptsLeft;
   }
 
   /** What never reached a replica costs the replicas nothing when it is sent again. */
@@ -259,15 +263,15 @@
   }
 
   /** Tries the replicas that did not run it once more after a pause; false when it is too late. */
-  private retryLater(result: AttemptResult): boolean {
+  private scheduleRetry(result: AttemptResult): boolean {
     const { clock, random } = this.context.environment;
-    const pause = FIRST_RETRY_PAUSE_MS * 2 ** this.pauses * (0.5 + random.nextFloat());
-    if (clock.now() + pause > this.options.retryUntil) return false;
-    this.pauses += 1;
-    this.retryTimer = clock.setTimer(pause, () => {
-      if (this.outcome !== undefined || this.live.size > 0) return;
+    const delay = FIRST_RETRY_DELAY_MS * 2 ** this.retryDelays * (0.5 + random.nextFloat());
+    if (clock.now() + delay > this.options.retryDeadline) return false;
+    this.retryDelays += 1;
+    this.retryTimer = clock.setTimer(delay, () => {
+      if (this.outcome !== undefined || this.inFlight.size > 0) return;
       this.candidates.readmitNotRun();
-      this.goOn(result);
+      this.continueAfter(result);
     });
     return true;
   }
@@ -278,14 +282,14 @@
 
   private finish(outcome: RaceOutcome): void {
     this.outcome = outcome;
-    this.abortLive();
+    this.abandonInFlight();
     this.options.onEnd(this);
   }
 
-  private abortLive(): void {
-    this.context.targets.cancelRoom(this.service, this.onRoom);
-    this.context.crashGuard.cancelNews(this.request.fingerprint, this.onNews);
+  private abandonInFlight(): void {
+    this.context.targets.cancelCapacity(this.service, this.onCapacity);
+    this.context.crashGuard.cancelOnceChanged(this.request.fingerprint, this.onQuarantineUpdate);
     this.retryTimer?.cancel();
-    for (const attempt of this.live) attempt.letGo();
+    for (const attempt of this.inFlight) attempt.abandon();
   }
 }
--- a/src/gateway/replica-target.ts
+++ b/src/gateway/replica-target.ts
@@ -1,10 +1,10 @@
 /** One replica as this gateway sends to it: its connections and what was observed of it. */
 import type { ReplicaEntry } from '../directory/replica-entry.js';
 import type { HttpClient } from '../seams/http.js';
-import type { ColdSendSlots } from './cold-send-slots.js';
+import type { ColdSendLimiter } from './cold-send-limiter.js';
 import { AttemptsInFlight } from './attempts-in-flight.js';
-import { FailureRest } from './failure-rest.js';
-import { ReplicaEnd } from './replica-end.js';
+import { FailureBackoff } from './failure-backoff.js';
+import { ReplacementSignal } from './replacement-signal.js';
 import type { ReportedLoad } from './reported-load.js';
 
 /** Weight of a new sample in the average of {@link ReplicaTarget.slownessAt}. */
@@ -12,25 +12,25 @@
 /** What was learned counts half after this long, so that a replica that recovered is found. */
 const HALF_LIFE_MS = 4_000;
 /** Replicas pause for moments; longer than this is something else. */
-const LONGEST_PAUSE_MS = 300;
+const MAXIMUM_PAUSE_MS = 300;
 /** By how much the time that an attempt was waited for is taken to fall short. */
 const UNFINISHED_FACTOR = 2;
-const MAXIMUM_ESTIMATE = 8;
+const MAXIMUM_UNFINISHED_ESTIMATE = 8;
 /** A connection is taken to stay open this long after its last use. */
-const WARM_MS = 6_000;
+const CONNECTION_WARM_MS = 6_000;
 /** Another replica answered at its address: it has ended, and nobody said so. It is let be for so long. */
-const REPLACED_MS = 60_000;
+const REPLACED_EXCLUSION_MS = 60_000;
 
 /** See the module comment. */
 export class ReplicaTarget {
   /** What it last said of its load. */
   load: ReportedLoad | undefined;
   /** When a connection that rests until then is used once; see `connection-warmer.ts`. */
-  warmCheckAt = -Infinity;
+  nextWarmCheckAt = -Infinity;
   /** Suspected requests that are being tried on it. */
-  trials = 0;
+  trialsInFlight = 0;
   /** Health checks since it was last used. */
-  warmChecks = 0;
+  unusedChecks = 0;
   /** Whether it said that it leaves, or was not heard of for so long that it was forgotten. */
   hasLeft = false;
   /** The replica that registered at its address or under its id later; undefined while none has. */
@@ -40,9 +40,9 @@
   /** Until when it is taken to be full, as it refused a request. Clock reading. */
   fullUntil = -Infinity;
   /** Tells attempts in flight that another replica has its address. */
-  readonly ending = new ReplicaEnd();
+  readonly replacement = new ReplacementSignal();
   private readonly attempts = new AttemptsInFlight();
-  private readonly rest = new FailureRest();
+  private readonly backoff = new FailureBackoff();
   private slowness = 1;
   private sampledAt = -Infinity;
   private replacedUntil = -Infinity;
@@ -54,9 +54,9 @@
     readonly client: HttpClient,
     readonly address: string,
     /** Until when it is slow from its start, or has turned cold again. Clock reading. */
-    public warmUntil: number,
+    public coldUntil: number,
     /** When it may be sent to while it is cold. */
-    readonly coldSends: ColdSendSlots,
+    readonly coldSendLimiter: ColdSendLimiter,
   ) {}
 
   get inFlight(): number {
@@ -65,7 +65,7 @@
 
   /** Notes an attempt and gives the number that {@link ReplicaTarget.end} takes. */
   begin(now: number): number {
-    this.warmCheckAt = Math.max(this.warmCheckAt, now + WARM_MS);
+    this.nextWarmCheckAt = Math.max(this.nextWarmCheckAt, now + CONNECTION_WARM_MS);
     return this.attempts.begin(now);
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** It took `ratio` times the usual time. */
-  noteLatency(ratio: number, now: number): void {
+  recordLatency(ratio: number, now: number): void {
     const before = this.slownessAt(now);
     this.slowness = before + (ratio - before) * SAMPLE_WEIGHT;
     this.sampledAt = now;
@@ -96,38 +96,38 @@
    * a replica that goes on so for longer than pauses last is slow, by how much is
    * not known, as nobody waited for its answers.
    */
-  noteUnfinished(ratio: number, now: number): void {
+  recordUnfinished(ratio: number, now: number): void {
     if (this.unfinishedSince === undefined) this.unfinishedSince = now;
-    const isLasting = now - this.unfinishedSince > LONGEST_PAUSE_MS;
+    const isLasting = now - this.unfinishedSince > MAXIMUM_PAUSE_MS;
     const before = this.slownessAt(now);
     if (isLasting) {
-      const estimate = Math.min(ratio * UNFINISHED_FACTOR, MAXIMUM_ESTIMATE);
+      const estimate = Math.min(ratio * UNFINISHED_FACTOR, MAXIMUM_UNFINISHED_ESTIMATE);
       this.slowness = Math.max(before, estimate);
       this.sampledAt = now;
     } else if (ratio > before) {
-      this.noteLatency(ratio, now);
+      this.recordLatency(ratio, now);
     }
   }
 
   /** It answered: it can be used. */
-  noteUsable(): void {
+  recordSuccess(): void {
     this.unfinishedSince = undefined;
-    this.rest.noteUsable();
+    this.backoff.recordSuccess();
   }
 
   /** It could not be reached, or what it sent was no answer. */
-  noteFailure(now: number): void {
-    this.rest.noteFailure(now);
+  recordFailure(now: number): void {
+    this.backoff.recordFailure(now);
   }
 
   /** It says that it is cold for `warmupMs` more; 0 when it is not, which may also be old word. */
-  noteWarmup(warmupMs: number, now: number): void {
-    if (warmupMs > 0) this.warmUntil = Math.max(this.warmUntil, now + warmupMs);
+  recordWarmup(warmupMs: number, now: number): void {
+    if (warmupMs > 0) this.coldUntil = Math.max(this.coldUntil, now + warmupMs);
   }
 
   /** Another replica has its address now. */
-  noteReplaced(now: number): void {
-    this.replacedUntil = now + REPLACED_MS;
+  markReplaced(now: number): void {
+    this.replacedUntil = now + REPLACED_EXCLUSION_MS;
   }
 
   isReplaced(now: number): boolean {
@@ -139,7 +139,7 @@
     return this.successor !== undefined || this.isReplaced(now);
   }
 
-  isResting(now: number): boolean {
-    return this.rest.isResting(now);
+  isBackingOff(now: number): boolean {
+    return this.backoff.isBackingOff(now);
   }
 }
--- a/src/gateway/reported-load.ts
+++ b/src/gateway/reported-load.ts
@@ -12,18 +12,18 @@
 }
 
 /** Running, waiting and slots are in every report; figures after the fourth are not used. */
-const REQUIRED_FIGURES = 3;
-const FIGURE_PATTERN = /^\d{1,9}$/;
+const REQUIRED_NUMBERS = 3;
+const NUMBER_PATTERN = /^\d{1,9}$/;
 /** Replicas give the time that work takes in percent of the usual time. */
 const USUAL_WORK_PERCENT = 100;
 
 /** Undefined when `text` is no report: too few figures, or something else than whole numbers. */
-export function readReportedLoad(text: string, at: number): ReportedLoad | undefined {
-  const figures = text.split(',').map((figure) => figure.trim());
+export function parseReportedLoad(text: string, at: number): ReportedLoad | undefined {
+  const numbers = text.split(',').map((figure) => figure.trim());
   const isReport =
-    figures.length >= REQUIRED_FIGURES && figures.every((figure) => FIGURE_PATTERN.test(figure));
+    numbers.length >= REQUIRED_NUMBERS && numbers.every((figure) => NUMBER_PATTERN.test(figure));
   if (!isReport) return undefined;
   const [running = 0, waiting = 0, slots = 0, workPercent = USUAL_WORK_PERCENT] =
-    figures.map(Number);
+    numbers.map(Number);
   return { running, waiting, slots, workFactor: workPercent / USUAL_WORK_PERCENT, at };
 }
--- a/src/gateway/request-decisions.ts
+++ b/src/gateway/request-decisions.ts
@@ -10,7 +10,7 @@
 import type { RaceOutcome } from './race-outcome.js';
 import type { ReplicaRace } from './replica-race.js';
 import { targetLatencyOf } from './route-latencies.js';
-import type { UnreadableReport } from './send-attempt.js';
+import type { UnreadableReport } from './attempt-sender.js';
 
 /** Outcome of a fan-out; all fields but `sources` are log fields. */
 export interface FanOutSummary {
--- a/src/gateway/route-latencies.ts
+++ b/src/gateway/route-latencies.ts
@@ -3,12 +3,12 @@
 import { RouteLatency } from './route-latency.js';
 
 /** Stands in for a target where the route names none. Part of its timeout. */
-const TARGET_PART_OF_TIMEOUT = 0.25;
+const DEFAULT_TARGET_FRACTION = 0.25;
 const MAXIMUM_ROUTES = 10_000;
 
 /** The time within which an answer of the route is of full use. Milliseconds. */
 export function targetLatencyOf(route: Route): number {
-  return route.targetLatencyMs ?? route.timeoutMs * TARGET_PART_OF_TIMEOUT;
+  return route.targetLatencyMs ?? route.timeoutMs * DEFAULT_TARGET_FRACTION;
 }
 
 /** See the module comment. */
--- a/src/gateway/service-targets.ts
+++ b/src/gateway/service-targets.ts
@@ -8,7 +8,7 @@
 import { RegisteredState, lifeIdOf, type ReplicaEntry } from '../directory/replica-entry.js';
 import { parseAddress } from '../seams/address.js';
 import type { Environment } from '../seams/environment.js';
-import { ColdSendSlots } from './cold-send-slots.js';
+import { ColdSendLimiter } from './cold-send-limiter.js';
 import { ReplicaTarget } from './replica-target.js';
 
 /** Most connections of this gateway to one replica, whatever the shares say. */
@@ -18,16 +18,16 @@
 const MAXIMUM_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /** In which a gateway that starts hears of the replicas: two of their heartbeats. Milliseconds. */
-const LEARNING_MS = 3_000;
+const DISCOVERY_MS = 3_000;
 
 const NO_TARGETS: readonly ReplicaTarget[] = [];
 
 /** Whether two entries of one replica are of one process; one that moved is taken for another. */
 function isSameProcess(known: ReplicaEntry, entry: ReplicaEntry): boolean {
-  const isSamePlace = known.address === entry.address && known.service === entry.service;
+  const isSameEndpoint = known.address === entry.address && known.service === entry.service;
   // Until the start of a life is known, it is the one that is known.
-  const isSameLife = known.bornAt === undefined || lifeIdOf(known) === lifeIdOf(entry);
-  return isSamePlace && isSameLife;
+  const isSameIncarnation = known.bornAt === undefined || lifeIdOf(known) === lifeIdOf(entry);
+  return isSameEndpoint && isSameIncarnation;
 }
 
 /** The replicas of one service. */
@@ -42,7 +42,7 @@
   private readonly byId = new Map<string, ReplicaTarget>();
   private readonly byAddress = new Map<string, ReplicaTarget>();
   private readonly groups = new Map<string, ServiceGroup>();
-  private readonly waiting = new Map<string, Set<() => void>>();
+  private readonly capacityCallbacks = new Map<string, Set<() => void>>();
   private evacuatedZones: ReadonlySet<string> = new Set();
   private usableCount = 0;
   private readonly startedAt: number;
@@ -77,37 +77,37 @@
   }
 
   /** Sends nothing new to replicas of these zones; requests in flight go on to their end. */
-  useEvacuatedZones(zones: ReadonlySet<string>): void {
+  setEvacuatedZones(zones: ReadonlySet<string>): void {
     this.evacuatedZones = zones;
     for (const [service, { all }] of this.groups) {
       this.setGroup(service, all);
-      this.notifyRoom(service);
+      this.notifyCapacity(service);
     }
   }
 
   /** Whether the gateway has just started, and may hear of replicas any moment. */
-  get isLearning(): boolean {
-    return this.environment.clock.now() - this.startedAt < LEARNING_MS;
+  get isDiscovering(): boolean {
+    return this.environment.clock.now() - this.startedAt < DISCOVERY_MS;
   }
 
   /** Calls `callback` once, when a replica of the service has room again or a new one is known. */
-  onceRoom(service: string, callback: () => void): void {
-    const waiting = this.waiting.get(service) ?? new Set();
-    waiting.add(callback);
-    this.waiting.set(service, waiting);
+  onceCapacity(service: string, callback: () => void): void {
+    const callbacks = this.capacityCallbacks.get(service) ?? new Set();
+    callbacks.add(callback);
+    this.capacityCallbacks.set(service, callbacks);
   }
 
   /** The callback is no longer wanted. */
-  cancelRoom(service: string, callback: () => void): void {
-    this.waiting.get(service)?.delete(callback);
+  cancelCapacity(service: string, callback: () => void): void {
+    this.capacityCallbacks.get(service)?.delete(callback);
   }
 
   /** A replica of the service has room again: wakes those that wait, in the order they came. */
-  notifyRoom(service: string): void {
-    const waiting = this.waiting.get(service);
-    if (waiting === undefined || waiting.size === 0) return;
-    this.waiting.set(service, new Set());
-    for (const callback of waiting) callback();
+  notifyCapacity(service: string): void {
+    const callbacks = this.capacityCallbacks.get(service);
+    if (callbacks === undefined || callbacks.size === 0) return;
+    this.capacityCallbacks.set(service, new Set());
+    for (const callback of callbacks) callback();
   }
 
   stop(): void {
@@ -122,8 +122,8 @@
     const known = this.byId.get(entry.replicaId);
     if (entry.state !== RegisteredState.Ready) {
       // A later life that leaves says nothing of how the known one ended.
-      const isSameLife = known !== undefined && isSameProcess(known.entry, entry);
-      if (isSameLife) known.hasLeft = true;
+      const isSameIncarnation = known !== undefined && isSameProcess(known.entry, entry);
+      if (isSameIncarnation) known.hasLeft = true;
       this.remove(entry.replicaId);
       return;
     }
@@ -139,7 +139,7 @@
 
   private update(target: ReplicaTarget, entry: ReplicaEntry): void {
     target.entry = entry;
-    target.noteWarmup(entry.warmupMs, this.environment.clock.now());
+    target.recordWarmup(entry.warmupMs, this.environment.clock.now());
   }
 
   private replace(entry: ReplicaEntry): void {
@@ -149,17 +149,17 @@
     if (target === undefined) return;
     if (former !== undefined) former.successor = target;
     this.byId.set(entry.replicaId, target);
-    this.supersede(target);
+    this.takeOverAddress(target);
     const { all = NO_TARGETS } = this.groups.get(entry.service) ?? {};
     this.setGroup(entry.service, [...all, target]);
-    this.notifyRoom(entry.service);
+    this.notifyCapacity(entry.service);
   }
 
   /**
    * A process that crashed may still be known, or be told of by a heartbeat that was
    * delayed, when another one has its address: the one that registered there last has it.
    */
-  private supersede(target: ReplicaTarget): void {
+  private takeOverAddress(target: ReplicaTarget): void {
     const earlier = this.byAddress.get(target.address);
     this.byAddress.set(target.address, target);
     if (earlier === undefined) return;
@@ -167,16 +167,16 @@
     earlier.predecessor = undefined;
     target.predecessor = earlier;
     this.refreshGroup(earlier.entry.service);
-    earlier.ending.note();
+    earlier.replacement.emit();
   }
 
   /**
    * Another replica answered at the target's address. Where the target was told of later
    * than that replica, its word was old, and the address is the other one's again.
    */
-  noteReplaced(target: ReplicaTarget): void {
-    target.noteReplaced(this.environment.clock.now());
-    target.ending.note();
+  markReplaced(target: ReplicaTarget): void {
+    target.markReplaced(this.environment.clock.now());
+    target.replacement.emit();
     const { predecessor, address } = target;
     if (predecessor === undefined) return;
     target.predecessor = undefined;
@@ -195,9 +195,9 @@
         connectTimeout: CONNECT_TIMEOUT_MS,
         keepAliveTimeout: KEEP_ALIVE_MS,
       });
-      const coldSends = new ColdSendSlots(random.nextFloat());
-      const warmUntil = clock.now() + entry.warmupMs;
-      return new ReplicaTarget(entry, client, entry.address, warmUntil, coldSends);
+      const coldSendLimiter = new ColdSendLimiter(random.nextFloat());
+      const coldUntil = clock.now() + entry.warmupMs;
+      return new ReplicaTarget(entry, client, entry.address, coldUntil, coldSendLimiter);
     } catch {
       return undefined;
     }
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -101,9 +101,9 @@
         new ReplicaRace(this.context, this.request, {
           service,
           latency,
-          stake,
+          valueFraction: stake,
           isRepeat,
-          retryUntil,
+          retryDeadline: retryUntil,
           maySendAgain,
           onEnd: (race) => this.onRaceEnd(race),
         }),
--- a/src/gateway/single-admission.ts
+++ b/src/gateway/single-admission.ts
@@ -1,19 +1,19 @@
 /** Whether a request to one service is offered to its replicas, and when its caller may come back. */
 import type { CallerRequest } from './caller-request.js';
-import { expectedRoom, refusalReason, slotTime, type RoomQuery } from './expected-wait.js';
+import { shortestBusyWait, refusalReason, slotInterval, type WaitQuery } from './expected-wait.js';
 import type { GatewayContext } from './gateway-context.js';
 
-function roomQuery(
+function waitQuery(
   context: GatewayContext,
   request: CallerRequest,
   service: string,
-  offeredBy: number,
-): RoomQuery {
+  sendDeadline: number,
+): WaitQuery {
   const { environment, latencies, regions, targets } = context;
   return {
     targets: regions.permitted(request.route, targets.of(service)),
-    usualLatency: latencies.of(request.route).usual,
-    offeredBy,
+    medianLatency: latencies.of(request.route).median,
+    sendDeadline: sendDeadline,
     deadline: request.deadline,
     now: environment.clock.now(),
   };
@@ -26,7 +26,7 @@
     private readonly request: CallerRequest,
     private readonly service: string,
     /** Until when the request may wait for an offer. Clock reading. */
-    private readonly offeredBy: number,
+    private readonly sendDeadline: number,
   ) {}
 
   /** Why it is refused at once; undefined when it is offered. */
@@ -38,15 +38,24 @@
   get retryAfterMs(): number | undefined {
     if (!this.context.mechanisms.expectedWait) return undefined;
     const { query, service } = this;
-    const { targets, usualLatency, deadline, now } = query;
-    const room = expectedRoom(query);
-    if (room === undefined) return undefined;
-    const rate = targets.reduce((sum, target) => sum + 1 / slotTime(target, usualLatency, now), 0);
-    const turn = { service, now, room, interval: 1 / rate, remaining: deadline - now };
-    return this.context.retryTimes.next(turn);
+    const { targets, medianLatency: medianLatency, deadline, now } = query;
+    const availableIn = shortestBusyWait(query);
+    if (availableIn === undefined) return undefined;
+    const rate = targets.reduce(
+      (sum, target) => sum + 1 / slotInterval(target, medianLatency, now),
+      0,
+    );
+    const timing = {
+      service,
+      now,
+      availableIn: availableIn,
+      interval: 1 / rate,
+      remaining: deadline - now,
+    };
+    return this.context.retrySchedule.next(timing);
   }
 
-  private get query(): RoomQuery {
-    return roomQuery(this.context, this.request, this.service, this.offeredBy);
+  private get query(): WaitQuery {
+    return waitQuery(this.context, this.request, this.service, this.sendDeadline);
   }
 }
--- a/src/gateway/split-chooser.ts
+++ b/src/gateway/split-chooser.ts
@@ -9,7 +9,7 @@
 import type { RandomSource } from '../seams/random-source.js';
 
 /** Longest way into the round at which a gateway begins; covers weights in percent. */
-const MAXIMUM_START = 100;
+const MAXIMUM_START_OFFSET = 100;
 /** Splits whose rounds are kept; far above what a route document holds. */
 const MAXIMUM_SPLITS = 10_000;
 
@@ -50,14 +50,14 @@
     const known = this.rounds.get(key);
     if (known !== undefined) return known;
     if (this.rounds.size >= MAXIMUM_SPLITS) this.rounds.clear();
-    const round = this.begin(split);
+    const round = this.createRound(split);
     this.rounds.set(key, round);
     return round;
   }
 
-  private begin(split: readonly SplitPart[]): WeightedRound {
+  private createRound(split: readonly SplitPart[]): WeightedRound {
     const round = new WeightedRound(split);
-    const start = Math.floor(this.random.nextFloat() * MAXIMUM_START);
+    const start = Math.floor(this.random.nextFloat() * MAXIMUM_START_OFFSET);
     for (let step = 0; step < start; step += 1) round.next();
     return round;
   }
--- a/src/policies/adaptive-admission-policy.ts
+++ b/src/policies/adaptive-admission-policy.ts
@@ -10,13 +10,13 @@
   AdmissionRequest,
   AdmissionTicket,
 } from './admission-policy.js';
-import { LearnedLimit } from './learned-limit.js';
+import { AdaptiveConcurrencyLimit } from './adaptive-concurrency-limit.js';
 import { TeamQueue } from './team-queue.js';
 
 /** Most of the time to its deadline that a request may wait in the queue. */
-const WAIT_SHARE = 0.1;
+const MAXIMUM_WAIT_FRACTION = 0.1;
 /** Shortest time after which a refused caller is told to come back. Milliseconds. */
-const LEAST_RETRY_AFTER = 100;
+const MINIMUM_RETRY_AFTER_MS = 100;
 
 /** Bounds of {@link AdaptiveAdmissionPolicy}. */
 export interface AdaptiveAdmissionOptions {
@@ -33,7 +33,7 @@
 
 /** See the module comment. */
 export class AdaptiveAdmissionPolicy implements AdmissionPolicy {
-  private readonly limit: LearnedLimit;
+  private readonly limit: AdaptiveConcurrencyLimit;
   private readonly queue = new TeamQueue<Waiter>();
   private inFlight = 0;
 
@@ -41,21 +41,21 @@
     private readonly options: AdaptiveAdmissionOptions,
     private readonly clock: Clock,
   ) {
-    this.limit = new LearnedLimit(options.maximumInFlight);
+    this.limit = new AdaptiveConcurrencyLimit(options.maximumInFlight);
   }
 
   admit(request: AdmissionRequest): Promise<AdmissionTicket | AdmissionRefusal> {
     const { signal, remaining, team } = request;
     if (signal.aborted) return Promise.resolve(this.refusal('caller is gone'));
     if (remaining <= 0) return Promise.resolve(this.refusal('deadline has passed'));
-    if (this.hasPlace) return Promise.resolve(this.takePlace());
-    if (this.expectedWait(this.queue.ahead(team)) > remaining * WAIT_SHARE) {
+    if (this.hasCapacity) return Promise.resolve(this.issueTicket());
+    if (this.expectedWait(this.queue.countAhead(team)) > remaining * MAXIMUM_WAIT_FRACTION) {
       return Promise.resolve(this.refusal('the queue is too long for the deadline'));
     }
-    return this.wait(request);
+    return this.enqueue(request);
   }
 
-  private get hasPlace(): boolean {
+  private get hasCapacity(): boolean {
     return this.inFlight < this.limit.value;
   }
 
@@ -64,14 +64,14 @@
     return ((ahead + 1) * this.limit.meanLatency) / this.limit.value;
   }
 
-  private wait({
+  private enqueue({
     team,
     remaining,
     signal,
   }: AdmissionRequest): ReturnType<AdmissionPolicy['admit']> {
     return new Promise((resolve) => {
       const onAbort = (): void => waiter.settle(this.refusal('caller is gone'));
-      const timer: Timer = this.clock.setTimer(remaining * WAIT_SHARE, () =>
+      const timer: Timer = this.clock.setTimer(remaining * MAXIMUM_WAIT_FRACTION, () =>
         waiter.settle(this.refusal('waited too long for the deadline')),
       );
       const waiter: Waiter = {
@@ -84,17 +84,17 @@
       };
       this.queue.add(team, waiter);
       signal.addEventListener('abort', onAbort, { once: true });
-      this.boundQueue();
+      this.enforceQueueLimit();
     });
   }
 
   /** Makes room at the cost of whoever has most in the queue. */
-  private boundQueue(): void {
+  private enforceQueueLimit(): void {
     if (this.queue.size <= this.options.queueLimit) return;
-    this.queue.takeLastOfLongest()?.settle(this.refusal('queue is full'));
+    this.queue.removeNewestOfLongest()?.settle(this.refusal('queue is full'));
   }
 
-  private takePlace(): AdmissionTicket {
+  private issueTicket(): AdmissionTicket {
     this.inFlight += 1;
     return {
       release: (served) => {
@@ -106,15 +106,15 @@
   }
 
   private admitNext(): void {
-    while (this.hasPlace) {
-      const next = this.queue.takeNext();
+    while (this.hasCapacity) {
+      const next = this.queue.dequeue();
       if (next === undefined) return;
-      next.settle(this.takePlace());
+      next.settle(this.issueTicket());
     }
   }
 
   private refusal(reason: string): AdmissionRefusal {
-    const retryAfter = Math.max(LEAST_RETRY_AFTER, this.expectedWait(this.queue.size));
+    const retryAfter = Math.max(MINIMUM_RETRY_AFTER_MS, this.expectedWait(this.queue.size));
     return { reason, retryAfter: Math.ceil(retryAfter) };
   }
 }
--- a/src/policies/learned-limit.ts
+++ b/src/policies/adaptive-concurrency-limit.ts
@@ -12,34 +12,34 @@
  */
 
 /** Requests after which the limit is reckoned afresh. */
-const WINDOW_SAMPLES = 64;
+const SAMPLES_PER_WINDOW = 64;
 /** Latency over the one without load that is still taken for normal. */
 const TOLERATED_LATENCY_RATIO = 2;
 /** Most by which one window shrinks the limit. */
-const LARGEST_DECREASE = 0.5;
+const MINIMUM_SHRINK_FACTOR = 0.5;
 /** Added in each window. */
-const INCREASE = 4;
+const INCREASE_PER_WINDOW = 4;
 const INITIAL_LIMIT = 32;
 /** Weight of a window's mean when the limit is not used. */
-const CALM_WEIGHT = 0.05;
+const UNUSED_WINDOW_WEIGHT = 0.05;
 /** Below this share of the best throughput the back ends have turned slow. */
-const SLOW_THROUGHPUT_SHARE = 0.7;
+const SLOW_THROUGHPUT_FRACTION = 0.7;
 /** By which latency without load grows, and best throughput shrinks, in a slow window. */
-const SLOW_STEP = 0.1;
+const SLOW_WINDOW_STEP_FRACTION = 0.1;
 
 /** Learns; does not count requests itself. */
-export class LearnedLimit {
+export class AdaptiveConcurrencyLimit {
   private limit: number;
   /** Of the last window. Milliseconds. */
-  private mean = 0;
+  private lastMeanLatency = 0;
   /** Latency without load; undefined before the first window. Milliseconds. */
-  private unloaded: number | undefined;
+  private baselineLatency: number | undefined;
   /** Of windows that used the limit. Requests per millisecond. */
   private bestThroughput = 0;
   private windowStart: number | undefined;
-  private sum = 0;
+  private latencySum = 0;
   private samples = 0;
-  private mostInFlight = 0;
+  private peakInFlight = 0;
 
   constructor(private readonly maximum: number) {
     this.limit = Math.min(maximum, INITIAL_LIMIT);
@@ -52,49 +52,55 @@
 
   /** Mean of the last window; 0 before the first. Milliseconds. */
   get meanLatency(): number {
-    return this.mean;
+    return this.lastMeanLatency;
   }
 
   /** A request took `latency` milliseconds, with `inFlight` at work at its end, at time `now`. */
   record(latency: number, inFlight: number, now: number): void {
     this.windowStart ??= now;
-    this.sum += latency;
+    this.latencySum += latency;
     this.samples += 1;
-    this.mostInFlight = Math.max(this.mostInFlight, inFlight);
-    if (this.samples >= WINDOW_SAMPLES) this.endWindow(now - this.windowStart, now);
+    this.peakInFlight = Math.max(this.peakInFlight, inFlight);
+    if (this.samples >= SAMPLES_PER_WINDOW) this.endWindow(now - this.windowStart, now);
   }
 
   private endWindow(duration: number, now: number): void {
-    this.mean = this.sum / this.samples;
-    const isUsed = this.mostInFlight * 2 >= this.limit;
+    this.lastMeanLatency = this.latencySum / this.samples;
+    const isUsed = this.peakInFlight * 2 >= this.limit;
     const unloaded = isUsed
-      ? this.learnUsed(this.mean, duration > 0 ? this.samples / duration : Infinity)
-      : this.learnUnused(this.mean);
-    this.unloaded = Math.min(unloaded, this.mean);
-    this.adjust((TOLERATED_LATENCY_RATIO * this.unloaded) / this.mean, isUsed);
+      ? this.baselineOfUsedWindow(
+          this.lastMeanLatency,
+          duration > 0 ? this.samples / duration : Infinity,
+        )
+      : this.baselineOfUnusedWindow(this.lastMeanLatency);
+    this.baselineLatency = Math.min(unloaded, this.lastMeanLatency);
+    this.adjustLimit(
+      (TOLERATED_LATENCY_RATIO * this.baselineLatency) / this.lastMeanLatency,
+      isUsed,
+    );
     this.windowStart = now;
-    this.sum = 0;
+    this.latencySum = 0;
     this.samples = 0;
-    this.mostInFlight = 0;
+    this.peakInFlight = 0;
   }
 
-  private learnUnused(mean: number): number {
-    const { unloaded = mean } = this;
-    return unloaded + CALM_WEIGHT * (mean - unloaded);
+  private baselineOfUnusedWindow(mean: number): number {
+    const { baselineLatency: unloaded = mean } = this;
+    return unloaded + UNUSED_WINDOW_WEIGHT * (mean - unloaded);
   }
 
-  private learnUsed(mean: number, throughput: number): number {
-    const { unloaded = mean, bestThroughput } = this;
-    const isSlow = throughput < SLOW_THROUGHPUT_SHARE * bestThroughput;
-    const best = isSlow ? bestThroughput * (1 - SLOW_STEP) : bestThroughput;
+  private baselineOfUsedWindow(mean: number, throughput: number): number {
+    const { baselineLatency: unloaded = mean, bestThroughput } = this;
+    const isSlow = throughput < SLOW_THROUGHPUT_FRACTION * bestThroughput;
+    const best = isSlow ? bestThroughput * (1 - SLOW_WINDOW_STEP_FRACTION) : bestThroughput;
     if (Number.isFinite(throughput)) this.bestThroughput = Math.max(best, throughput);
-    return isSlow ? unloaded * (1 + SLOW_STEP) : unloaded;
+    return isSlow ? unloaded * (1 + SLOW_WINDOW_STEP_FRACTION) : unloaded;
   }
 
   /** A limit that is not used does not grow. */
-  private adjust(ratio: number, isUsed: boolean): void {
-    const factor = Math.min(1, Math.max(LARGEST_DECREASE, ratio));
-    const next = this.limit * factor + INCREASE;
+  private adjustLimit(ratio: number, isUsed: boolean): void {
+    const factor = Math.min(1, Math.max(MINIMUM_SHRINK_FACTOR, ratio));
+    const next = this.limit * factor + INCREASE_PER_WINDOW;
     if (next > this.limit && !isUsed) return;
     this.limit = Math.min(this.maximum, next);
   }
--- a/src/policies/attempt-budget.ts
+++ b/src/policies/attempt-budget.ts
@@ -9,7 +9,7 @@
 /** Bounds of an {@link AttemptBudget}. */
 export interface AttemptBudgetOptions {
   /** Earned by each first attempt, in percent of a further one. */
-  readonly percent: number;
+  readonly depositPercent: number;
   /** Further attempts that may be spent before any was earned. */
   readonly initialReserve: number;
   /** Most further attempts that can be saved up, which bounds a burst. */
@@ -21,17 +21,17 @@
   private balance: number;
 
   constructor(private readonly options: AttemptBudgetOptions) {
-    this.balance = options.percent > 0 ? options.initialReserve * ATTEMPT_COST : 0;
+    this.balance = options.depositPercent > 0 ? options.initialReserve * ATTEMPT_COST : 0;
   }
 
   /** A first attempt was sent. */
-  earn(): void {
+  deposit(): void {
     const most = this.options.maximumReserve * ATTEMPT_COST;
-    this.balance = Math.min(most, this.balance + this.options.percent);
+    this.balance = Math.min(most, this.balance + this.options.depositPercent);
   }
 
   /** Takes one further attempt; false when the budget is spent. */
-  spend(): boolean {
+  tryWithdraw(): boolean {
     if (this.balance < ATTEMPT_COST) return false;
     this.balance -= ATTEMPT_COST;
     return true;
--- a/src/policies/bounded-admission-policy.ts
+++ b/src/policies/bounded-admission-policy.ts
@@ -8,7 +8,7 @@
 } from './admission-policy.js';
 
 /** When to come back if nothing better is known. Milliseconds. */
-const DEFAULT_RETRY_AFTER = 1_000;
+const RETRY_AFTER_MS = 1_000;
 
 /** Limits of {@link BoundedAdmissionPolicy}. */
 export interface BoundedAdmissionOptions {
@@ -23,7 +23,7 @@
 }
 
 function refusal(reason: string): AdmissionRefusal {
-  return { reason, retryAfter: DEFAULT_RETRY_AFTER };
+  return { reason, retryAfter: RETRY_AFTER_MS };
 }
 
 /** Refuses at once when the queue is full, and when a deadline passes in the queue. */
@@ -40,14 +40,14 @@
   admit(request: AdmissionRequest): Promise<AdmissionTicket | AdmissionRefusal> {
     if (request.signal.aborted) return Promise.resolve(refusal('caller is gone'));
     if (request.remaining <= 0) return Promise.resolve(refusal('deadline has passed'));
-    if (this.inFlight < this.options.maximumInFlight) return Promise.resolve(this.takePlace());
+    if (this.inFlight < this.options.maximumInFlight) return Promise.resolve(this.issueTicket());
     if (this.waiters.size >= this.options.queueLimit) {
       return Promise.resolve(refusal('queue is full'));
     }
-    return this.wait(request);
+    return this.enqueue(request);
   }
 
-  private wait(request: AdmissionRequest): Promise<AdmissionTicket | AdmissionRefusal> {
+  private enqueue(request: AdmissionRequest): Promise<AdmissionTicket | AdmissionRefusal> {
     return new Promise((resolve) => {
       const onAbort = (): void => waiter.settle(refusal('caller is gone'));
       const timer: Timer = this.clock.setTimer(request.remaining, () =>
@@ -66,7 +66,7 @@
     });
   }
 
-  private takePlace(): AdmissionTicket {
+  private issueTicket(): AdmissionTicket {
     this.inFlight += 1;
     return {
       release: () => {
@@ -78,6 +78,6 @@
 
   private admitNext(): void {
     const [next] = this.waiters;
-    if (next !== undefined) next.settle(this.takePlace());
+    if (next !== undefined) next.settle(this.issueTicket());
   }
 }
--- a/src/policies/budgeted-retry-policy.ts
+++ b/src/policies/budgeted-retry-policy.ts
@@ -4,9 +4,9 @@
 import type { FailedAttempt, RetryPolicy } from './retry-policy.js';
 
 /** Upper bound of the delay before the first retry; doubles with each further one. Milliseconds. */
-const FIRST_RETRY_DELAY = 2;
+const BASE_RETRY_DELAY_MS = 2;
 /** Upper bound of any delay. Milliseconds. */
-const MAXIMUM_RETRY_DELAY = 100;
+const MAXIMUM_RETRY_DELAY_MS = 100;
 /** Retries a service with few requests can make before it has earned any. */
 const INITIAL_RESERVE = 10;
 /** Most retries saved up. */
@@ -27,14 +27,14 @@
     private readonly random: RandomSource,
   ) {
     this.budget = new AttemptBudget({
-      percent: options.budgetPercent,
+      depositPercent: options.budgetPercent,
       initialReserve: INITIAL_RESERVE,
       maximumReserve: MAXIMUM_RESERVE,
     });
   }
 
-  recordPrimary(): void {
-    this.budget.earn();
+  recordFirstAttempt(): void {
+    this.budget.deposit();
   }
 
   retryDelay(attempt: FailedAttempt): number | undefined {
@@ -43,12 +43,12 @@
     if (attempt.attempts >= this.options.maximumAttempts) return undefined;
     const delay = this.drawDelay(attempt.attempts);
     if (delay >= attempt.remaining) return undefined;
-    return this.budget.spend() ? delay : undefined;
+    return this.budget.tryWithdraw() ? delay : undefined;
   }
 
   /** Full jitter: anything from 0 to the bound. */
   private drawDelay(attempts: number): number {
-    const bound = Math.min(MAXIMUM_RETRY_DELAY, FIRST_RETRY_DELAY * 2 ** (attempts - 1));
+    const bound = Math.min(MAXIMUM_RETRY_DELAY_MS, BASE_RETRY_DELAY_MS * 2 ** (attempts - 1));
     return this.random.nextFloat() * bound;
   }
 }
--- a/src/policies/hedge-policy.ts
+++ b/src/policies/hedge-policy.ts
@@ -3,7 +3,7 @@
 /** Learns from every attempt of one service. */
 export interface HedgePolicy {
   /** A first attempt was sent; earns budget. */
-  recordPrimary(shardId: string): void;
+  recordFirstAttempt(shardId: string): void;
 
   /** An attempt was answered after `latency` milliseconds. */
   recordLatency(shardId: string, latency: number): void;
@@ -15,5 +15,5 @@
   hedgeDelay(shardId: string): number | undefined;
 
   /** Takes one hedge from the budget; false when it is spent. */
-  takeBudget(): boolean;
+  tryTakeBudget(): boolean;
 }
--- a/src/policies/latency-digest.ts
+++ b/src/policies/latency-digest.ts
@@ -6,7 +6,7 @@
  */
 
 /** Lower bound of the second bucket. Milliseconds. */
-const SMALLEST_LATENCY = 0.1;
+const SMALLEST_LATENCY_MS = 0.1;
 /** Upper bound of each bucket over its lower bound: the precision of every figure. */
 const BUCKET_GROWTH = 1.05;
 /** Reaches beyond ten minutes. */
@@ -14,13 +14,13 @@
 const LOG_GROWTH = Math.log(BUCKET_GROWTH);
 
 function bucketOf(latency: number): number {
-  if (latency <= SMALLEST_LATENCY) return 0;
-  const index = 1 + Math.floor(Math.log(latency / SMALLEST_LATENCY) / LOG_GROWTH);
+  if (latency <= SMALLEST_LATENCY_MS) return 0;
+  const index = 1 + Math.floor(Math.log(latency / SMALLEST_LATENCY_MS) / LOG_GROWTH);
   return Math.min(index, BUCKET_COUNT - 1);
 }
 
 function upperBound(bucket: number): number {
-  return SMALLEST_LATENCY * BUCKET_GROWTH ** bucket;
+  return SMALLEST_LATENCY_MS * BUCKET_GROWTH ** bucket;
 }
 
 /** Forgets by halving all counts each time their sum reaches `window`. */
@@ -49,7 +49,7 @@
 
   /** The latency that a share `quantile` of replies stays below. 0 without samples. Milliseconds. */
   quantile(quantile: number): number {
-    const aimed = 1 - quantile;
+    const targetSurvival = 1 - quantile;
     let surviving = 1;
     let atRisk = this.total;
     let last = 0;
@@ -58,7 +58,7 @@
       const givenUp = this.unfinished[bucket] ?? 0;
       if (ended + givenUp > 0) last = upperBound(bucket);
       surviving *= Math.max(0, 1 - ended / atRisk);
-      if (ended > 0 && surviving <= aimed) return last;
+      if (ended > 0 && surviving <= targetSurvival) return last;
       atRisk -= ended + givenUp;
     }
     return last;
--- a/src/policies/latency-weighted-replica-selector.ts
+++ b/src/policies/latency-weighted-replica-selector.ts
@@ -4,7 +4,7 @@
 import { sampleTwo } from './sample-two.js';
 
 /** Time a further attempt is expected to take; 0 for a replica never tried. Milliseconds. */
-function expectedTime(view: ReplicaView): number {
+function expectedLatency(view: ReplicaView): number {
   return (view.inFlight + 1) * (view.smoothedLatency ?? 0);
 }
 
@@ -15,6 +15,6 @@
   select(candidates: readonly ReplicaView[]): ReplicaView | undefined {
     const pair = sampleTwo(candidates, this.random);
     if (pair === undefined) return undefined;
-    return expectedTime(pair.second) < expectedTime(pair.first) ? pair.second : pair.first;
+    return expectedLatency(pair.second) < expectedLatency(pair.first) ? pair.second : pair.first;
   }
 }
--- a/src/policies/no-hedge-policy.ts
+++ b/src/policies/no-hedge-policy.ts
@@ -3,7 +3,7 @@
 
 /** The baseline: each attempt is waited for. */
 export class NoHedgePolicy implements HedgePolicy {
-  recordPrimary(): void {}
+  recordFirstAttempt(): void {}
 
   recordLatency(): void {}
 
@@ -13,7 +13,7 @@
     return undefined;
   }
 
-  takeBudget(): boolean {
+  tryTakeBudget(): boolean {
     return false;
   }
 }
--- a/src/policies/outlier-ejection.ts
+++ b/src/policies/outlier-ejection.ts
@@ -7,12 +7,12 @@
 import type { Clock } from '../seams/clock.js';
 
 /** Failures in a row after which a replica is set apart. */
-const FAILURES_TO_EJECT = 3;
+const CONSECUTIVE_FAILURES_TO_EJECT = 3;
 /** Of the replicas heard of. */
-const LARGEST_EJECTED_SHARE = 0.5;
+const MAXIMUM_EJECTED_FRACTION = 0.5;
 /** The first time; doubles with each further one in a row. Milliseconds. */
-const FIRST_EJECTION_TIME = 1_000;
-const LONGEST_EJECTION_TIME = 8_000;
+const BASE_EJECTION_MS = 1_000;
+const MAXIMUM_EJECTION_MS = 8_000;
 
 /** One process of a replica; a restart makes another one, of which nothing is known. */
 export interface ReplicaProcess {
@@ -21,59 +21,62 @@
 }
 
 /** How one replica's process has done of late. */
-interface Standing {
+interface ReplicaHealth {
   readonly incarnation: number | undefined;
-  failuresInRow: number;
-  ejections: number;
+  consecutiveFailures: number;
+  consecutiveEjections: number;
   /** On the monotonic clock. Milliseconds. */
   ejectedUntil: number;
 }
 
 /** Learns from the attempts of one service. */
 export class OutlierEjection {
-  private readonly standings = new Map<string, Standing>();
+  private readonly healthByReplica = new Map<string, ReplicaHealth>();
 
   constructor(private readonly clock: Clock) {}
 
   recordSuccess(process: ReplicaProcess): void {
-    const standing = this.standingOf(process);
-    standing.failuresInRow = 0;
-    standing.ejections = 0;
+    const standing = this.healthOf(process);
+    standing.consecutiveFailures = 0;
+    standing.consecutiveEjections = 0;
   }
 
   /** The replica failed by itself; being asked too much is not meant. */
   recordFailure(process: ReplicaProcess): void {
-    const standing = this.standingOf(process);
-    standing.failuresInRow += 1;
-    if (standing.failuresInRow < FAILURES_TO_EJECT || this.isEjected(process)) return;
-    if (!this.mayEjectAnother()) return;
-    const time = FIRST_EJECTION_TIME * 2 ** standing.ejections;
-    standing.ejections += 1;
-    standing.ejectedUntil = this.clock.now() + Math.min(LONGEST_EJECTION_TIME, time);
+    const standing = this.healthOf(process);
+    standing.consecutiveFailures += 1;
+    if (standing.consecutiveFailures < CONSECUTIVE_FAILURES_TO_EJECT || this.isEjected(process))
+      return;
+    if (!this.canEjectAnother()) return;
+    const time = BASE_EJECTION_MS * 2 ** standing.consecutiveEjections;
+    standing.consecutiveEjections += 1;
+    standing.ejectedUntil = this.clock.now() + Math.min(MAXIMUM_EJECTION_MS, time);
   }
 
   isEjected({ replicaId, incarnation }: ReplicaProcess): boolean {
-    const standing = this.standings.get(replicaId);
+    const standing = this.healthByReplica.get(replicaId);
     if (standing === undefined || standing.incarnation !== incarnation) return false;
     return this.clock.now() < standing.ejectedUntil;
   }
 
-  private mayEjectAnother(): boolean {
+  private canEjectAnother(): boolean {
     const now = this.clock.now();
-    const ejected = [...this.standings.values()].filter(({ ejectedUntil }) => now < ejectedUntil);
-    return ejected.length + 1 <= LARGEST_EJECTED_SHARE * this.standings.size;
+    const ejected = [...this.healthByReplica.values()].filter(
+      ({ ejectedUntil }) => now < ejectedUntil,
+    );
+    return ejected.length + 1 <= MAXIMUM_EJECTED_FRACTION * this.healthByReplica.size;
   }
 
-  private standingOf({ replicaId, incarnation }: ReplicaProcess): Standing {
-    const known = this.standings.get(replicaId);
+  private healthOf({ replicaId, incarnation }: ReplicaProcess): ReplicaHealth {
+    const known = this.healthByReplica.get(replicaId);
     if (known !== undefined && known.incarnation === incarnation) return known;
-    const standing: Standing = {
+    const standing: ReplicaHealth = {
       incarnation,
-      failuresInRow: 0,
-      ejections: 0,
+      consecutiveFailures: 0,
+      consecutiveEjections: 0,
       ejectedUntil: -Infinity,
     };
-    this.standings.set(replicaId, standing);
+    this.healthByReplica.set(replicaId, standing);
     return standing;
   }
 }
--- a/src/policies/quantile-hedge-policy.ts
+++ b/src/policies/quantile-hedge-policy.ts
@@ -13,9 +13,9 @@
 /** Samples of the service remembered. */
 const SERVICE_WINDOW = 4_000;
 /** With fewer samples of its own, a shard is judged by the whole service. */
-const LEAST_SHARD_SAMPLES = 250;
+const MINIMUM_SHARD_SAMPLES = 250;
 /** With fewer samples in all, nothing is hedged. */
-const LEAST_SERVICE_SAMPLES = 50;
+const MINIMUM_SERVICE_SAMPLES = 50;
 /** Samples after which a delay is computed afresh. */
 const SAMPLES_BETWEEN_UPDATES = 16;
 /** Hedges a service can make before it has earned any. */
@@ -23,7 +23,7 @@
 /** Most hedges saved up, which bounds a burst. */
 export const MAXIMUM_HEDGE_RESERVE = 20;
 /** Quantiles are kept so high that hedges take this share of the budget. */
-const BUDGET_USE = 0.9;
+const TARGET_BUDGET_FRACTION = 0.9;
 
 /** Settings of {@link QuantileHedgePolicy}. */
 export interface QuantileHedgeOptions {
@@ -53,16 +53,16 @@
   constructor({ quantile, budgetPercent }: QuantileHedgeOptions) {
     // A lower quantile would ask for more hedges than the budget allows, and
     // whichever attempt came first would get one instead of the slowest.
-    this.quantile = Math.max(quantile, 1 - (BUDGET_USE * budgetPercent) / 100);
+    this.quantile = Math.max(quantile, 1 - (TARGET_BUDGET_FRACTION * budgetPercent) / 100);
     this.budget = new AttemptBudget({
-      percent: budgetPercent,
+      depositPercent: budgetPercent,
       initialReserve: INITIAL_RESERVE,
       maximumReserve: MAXIMUM_HEDGE_RESERVE,
     });
   }
 
-  recordPrimary(): void {
-    this.budget.earn();
+  recordFirstAttempt(): void {
+    this.budget.deposit();
   }
 
   recordLatency(shardId: string, latency: number): void {
@@ -81,13 +81,13 @@
 
   hedgeDelay(shardId: string): number | undefined {
     const shard = this.shards.get(shardId);
-    if (shard !== undefined && shard.digest.weight >= LEAST_SHARD_SAMPLES) return shard.delay;
-    if (this.service.digest.weight < LEAST_SERVICE_SAMPLES) return undefined;
+    if (shard !== undefined && shard.digest.weight >= MINIMUM_SHARD_SAMPLES) return shard.delay;
+    if (this.service.digest.weight < MINIMUM_SERVICE_SAMPLES) return undefined;
     return this.service.delay;
   }
 
-  takeBudget(): boolean {
-    return this.budget.spend();
+  tryTakeBudget(): boolean {
+    return this.budget.tryWithdraw();
   }
 
   private shard(shardId: string): LearnedDelay {
--- a/src/policies/retry-policy.ts
+++ b/src/policies/retry-policy.ts
@@ -15,7 +15,7 @@
 /** One service's retries. */
 export interface RetryPolicy {
   /** A first attempt was sent; earns budget. */
-  recordPrimary(): void;
+  recordFirstAttempt(): void;
 
   /**
    * Wait before the retry, or undefined for no retry. Takes from the budget.
--- a/src/policies/service-policies.ts
+++ b/src/policies/service-policies.ts
@@ -23,7 +23,7 @@
 /** One instance of each decision, shared by all requests of the service in this router. */
 export interface ServicePolicies {
   readonly replicaSelector: ReplicaSelector;
-  readonly outliers: OutlierEjection;
+  readonly outlierEjection: OutlierEjection;
   readonly hedge: HedgePolicy;
   readonly completion: CompletionPolicy;
   readonly retry: RetryPolicy;
@@ -81,7 +81,7 @@
   const { clock, random } = dependencies;
   return {
     replicaSelector: createReplicaSelector(settings.replicaSelection, random),
-    outliers: new OutlierEjection(clock),
+    outlierEjection: new OutlierEjection(clock),
     hedge: createHedgePolicy(settings),
     completion: createCompletionPolicy(settings, random),
     retry: new BudgetedRetryPolicy(
--- a/src/policies/team-queue.ts
+++ b/src/policies/team-queue.ts
@@ -11,7 +11,7 @@
   }
 
   /** Items that leave before one added now would. */
-  ahead(team: string): number {
+  countAhead(team: string): number {
     const own = this.teams.get(team)?.size ?? 0;
     let ahead = own;
     for (const [name, items] of this.teams) {
@@ -35,7 +35,7 @@
   }
 
   /** Takes out the first of the team whose turn it is. */
-  takeNext(): Item | undefined {
+  dequeue(): Item | undefined {
     const [entry] = this.teams;
     if (entry === undefined) return undefined;
     const [team, items] = entry;
@@ -48,7 +48,7 @@
   }
 
   /** Takes out the last that came of the team with the longest queue. */
-  takeLastOfLongest(): Item | undefined {
+  removeNewestOfLongest(): Item | undefined {
     let longest: { readonly team: string; readonly items: Set<Item> } | undefined;
     for (const [team, items] of this.teams) {
       if (longest === undefined || items.size > longest.items.size) longest = { team, items };
--- a/src/quarantine/abandoned-attempts.ts
+++ b/src/quarantine/abandoned-attempts.ts
@@ -7,49 +7,49 @@
 import { RecentMap } from './recent-map.js';
 
 /** Longest time that a replica is taken to work on after its caller has gone. Milliseconds. */
-const WATCHED_MS = 2_000;
+const MAXIMUM_TRACKED_MS = 2_000;
 const MAXIMUM_REPLICAS = 2_048;
-const MAXIMUM_PER_REPLICA = 16;
+const MAXIMUM_ATTEMPTS_PER_REPLICA = 16;
 
 /** What was asked in an abandoned attempt. */
-export interface WatchedRequest {
+export interface RequestIdentity {
   readonly fingerprint: string;
   readonly description: string;
 }
 
 /** One attempt that was given up. */
 export interface AbandonedAttempt {
-  readonly request: WatchedRequest;
+  readonly request: RequestIdentity;
   /** It was the only sending of a suspected request. */
   readonly isTrial: boolean;
 }
 
-interface WatchedAttempt extends AbandonedAttempt {
-  readonly until: number;
+interface TrackedAttempt extends AbandonedAttempt {
+  readonly expiresAt: number;
 }
 
 /** See the module comment. */
 export class AbandonedAttempts {
-  private readonly byReplica = new RecentMap<string, readonly WatchedAttempt[]>(MAXIMUM_REPLICAS);
+  private readonly byReplica = new RecentMap<string, readonly TrackedAttempt[]>(MAXIMUM_REPLICAS);
 
   constructor(private readonly clock: Clock) {}
 
   /** The attempt was given up; `leftMs` is what its replica was told that it has. */
-  note(replicaId: string, attempt: AbandonedAttempt, leftMs: number): void {
-    const until = this.clock.now() + Math.min(Math.max(leftMs, 0), WATCHED_MS);
-    const watched = [...this.watched(replicaId), { ...attempt, until }];
-    this.byReplica.set(replicaId, watched.slice(-MAXIMUM_PER_REPLICA));
+  record(replicaId: string, attempt: AbandonedAttempt, leftMs: number): void {
+    const until = this.clock.now() + Math.min(Math.max(leftMs, 0), MAXIMUM_TRACKED_MS);
+    const watched = [...this.unexpired(replicaId), { ...attempt, until }];
+    this.byReplica.set(replicaId, watched.slice(-MAXIMUM_ATTEMPTS_PER_REPLICA));
   }
 
   /** The replica was found lost: what it may have been working on, which is then forgotten. */
   takeAll(replicaId: string): readonly AbandonedAttempt[] {
-    const watched = this.watched(replicaId);
+    const watched = this.unexpired(replicaId);
     this.byReplica.delete(replicaId);
     return watched.map(({ request, isTrial }) => ({ request, isTrial }));
   }
 
-  private watched(replicaId: string): readonly WatchedAttempt[] {
+  private unexpired(replicaId: string): readonly TrackedAttempt[] {
     const now = this.clock.now();
-    return (this.byReplica.get(replicaId) ?? []).filter(({ until }) => until > now);
+    return (this.byReplica.get(replicaId) ?? []).filter(({ expiresAt: until }) => until > now);
   }
 }
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -11,24 +11,24 @@
 import {
   AbandonedAttempts,
   type AbandonedAttempt,
-  type WatchedRequest,
+  type RequestIdentity,
 } from './abandoned-attempts.js';
 import { EvidenceReporter, type EvidenceReporterParts } from './evidence-reporter.js';
-import { CrashKnowledge } from './crash-knowledge.js';
+import { CrashEvidenceStore } from './crash-evidence-store.js';
 import {
   QuarantineState,
-  isHeldAgainst,
+  isActiveState,
   type CrashEvidence,
   type QuarantineEntry,
 } from './quarantine-entry.js';
 import { QuarantineMetrics, type TrialResult } from './quarantine-metrics.js';
 import { NO_EVIDENCE, QuarantineChangeKind } from './quarantine-register.js';
 import { TrialGrants } from './trial-grants.js';
-import { TrialTurns } from './trial-turns.js';
+import { TrialSlots } from './trial-slots.js';
 
 /** Whether a request may be sent to a replica now. */
-export enum Admission {
-  Free = 'free',
+export enum CrashGuardDecision {
+  Allowed = 'free',
   /** As a trial, whose end is to be told to {@link CrashGuard.endTrial}. */
   Trial = 'trial',
   /** Another sending of it is being tried. */
@@ -44,34 +44,36 @@
   /** Name of this gateway. */
   readonly gateway: string;
   /** False lets every request pass. */
-  readonly isOn: boolean;
+  readonly isEnabled: boolean;
   /** False quarantines a request as soon as it is suspected, without a trial. */
-  readonly hasTrials: boolean;
+  readonly areTrialsEnabled: boolean;
 }
 
 /** See the module comment. */
 export class CrashGuard {
-  private readonly knowledge: CrashKnowledge;
+  private readonly evidenceStore: CrashEvidenceStore;
   private readonly abandoned: AbandonedAttempts;
-  private readonly turns: TrialTurns;
+  private readonly slots: TrialSlots;
   private readonly grants: TrialGrants;
   private readonly reporter: EvidenceReporter;
   private readonly metrics: QuarantineMetrics;
 
   constructor(private readonly parts: CrashGuardParts) {
-    this.knowledge = new CrashKnowledge(parts.clock, parts.hasTrials);
+    this.evidenceStore = new CrashEvidenceStore(parts.clock, parts.areTrialsEnabled);
     this.abandoned = new AbandonedAttempts(parts.clock);
-    this.turns = new TrialTurns(parts.clock);
+    this.slots = new TrialSlots(parts.clock);
     const { clock, gateway, send } = parts;
-    const onNews = (fingerprint: string): void => this.offerGrant(fingerprint);
-    this.grants = new TrialGrants({ clock, gateway, send, onNews });
+    const onNews = (fingerprint: string): void => this.onGrantChange(fingerprint);
+    this.grants = new TrialGrants({ clock, gateway, send, onChange: onNews });
     this.reporter = new EvidenceReporter(parts);
-    this.metrics = new QuarantineMetrics(parts.registry, () => this.knowledge.count());
+    this.metrics = new QuarantineMetrics(parts.registry, () => this.evidenceStore.count());
   }
 
   /** What is known of a request: suspected, quarantined, or neither, which is `Observed`. */
   stateOf(fingerprint: string): QuarantineState {
-    return this.parts.isOn ? this.knowledge.stateOf(fingerprint) : QuarantineState.Observed;
+    return this.parts.isEnabled
+      ? this.evidenceStore.stateOf(fingerprint)
+      : QuarantineState.Observed;
   }
 
   isQuarantined(fingerprint: string): boolean {
@@ -86,114 +88,119 @@
    * Asked before each sending. While it waits or is a trial, `onNews` is called once when more
    * is known of the request.
    */
-  admit(fingerprint: string, onNews: () => void): Admission {
+  admit(fingerprint: string, onChange: () => void): CrashGuardDecision {
     switch (this.stateOf(fingerprint)) {
       case QuarantineState.Quarantined:
-        return Admission.Refused;
+        return CrashGuardDecision.Refused;
       case QuarantineState.Suspected:
-        this.turns.wait(fingerprint, onNews);
-        return this.mayTry(fingerprint) ? Admission.Trial : Admission.Wait;
+        this.slots.wait(fingerprint, onChange);
+        return this.tryStartTrial(fingerprint) ? CrashGuardDecision.Trial : CrashGuardDecision.Wait;
       default:
-        return Admission.Free;
+        return CrashGuardDecision.Allowed;
     }
   }
 
   /** `onNews` is called once when more is known of the request. */
-  onceNews(fingerprint: string, onNews: () => void): void {
-    this.turns.wait(fingerprint, onNews);
+  onceChanged(fingerprint: string, onChange: () => void): void {
+    this.slots.wait(fingerprint, onChange);
   }
 
   /** `onNews` is no longer to be called. */
-  cancelNews(fingerprint: string, onNews: () => void): void {
-    this.turns.cancel(fingerprint, onNews);
+  cancelOnceChanged(fingerprint: string, onChange: () => void): void {
+    this.slots.cancel(fingerprint, onChange);
   }
 
-  /** A trial is over. What ended under it is told before, by {@link CrashGuard.noteEnded}. */
+  /** A trial is over. What ended under it is told before, by {@link CrashGuard.recordTermination}. */
   endTrial(fingerprint: string, result: TrialResult): void {
     this.metrics.trials.inc({ result });
     this.grants.release(fingerprint);
-    this.turns.end(fingerprint);
+    this.slots.release(fingerprint);
   }
 
   /** A quarantined request came, and was refused. */
-  noteRefusal(): void {
+  recordRefusal(): void {
     this.metrics.refused.inc();
   }
 
   /** A trial that was admitted was not sent, and whoever it was does not wait for news. */
-  returnTrial(fingerprint: string, onNews: () => void): void {
-    this.turns.cancel(fingerprint, onNews);
+  cancelTrial(fingerprint: string, onChange: () => void): void {
+    this.slots.cancel(fingerprint, onChange);
     this.grants.release(fingerprint);
-    this.turns.end(fingerprint);
+    this.slots.release(fingerprint);
   }
 
   /** A replica ran the request and answered: it does not crash each replica that runs it. */
-  noteAnswer(fingerprint: string): void {
-    this.knowledge.noteAnswer(fingerprint);
-    if (!this.knowledge.has(fingerprint)) return;
-    this.clear(fingerprint);
-    this.turns.wake(fingerprint);
+  recordAnswer(fingerprint: string): void {
+    this.evidenceStore.recordAnswer(fingerprint);
+    if (!this.evidenceStore.hasEvidence(fingerprint)) return;
+    this.clearEvidence(fingerprint);
+    this.slots.notifyWaiters(fingerprint);
   }
 
   /** The replica ended, or may have, while it had the request. */
-  noteEnded(request: WatchedRequest, replicaId: string, isTrial: boolean): void {
+  recordTermination(request: RequestIdentity, replicaId: string, isTrial: boolean): void {
     const { fingerprint } = request;
-    if (!this.parts.isOn || this.knowledge.hasRecentAnswer(fingerprint)) return;
+    if (!this.parts.isEnabled || this.evidenceStore.hasRecentAnswer(fingerprint)) return;
     const before = this.stateOf(fingerprint);
-    const evidence = this.knowledge.noteEnded(request, replicaId, isTrial);
+    const evidence = this.evidenceStore.recordTermination(request, replicaId, isTrial);
     this.reporter.report({ ...NO_EVIDENCE, kind: QuarantineChangeKind.Evidence, ...evidence });
-    this.logChange(before, evidence);
+    this.logStateChange(before, evidence);
   }
 
   /** The attempt was given up by closing its connection; its replica may work on. */
-  noteAbandoned(replicaId: string, attempt: AbandonedAttempt, leftMs: number): void {
-    if (this.parts.isOn) this.abandoned.note(replicaId, attempt, leftMs);
+  recordAbandonedAttempt(replicaId: string, attempt: AbandonedAttempt, leftMs: number): void {
+    if (this.parts.isEnabled) this.abandoned.record(replicaId, attempt, leftMs);
   }
 
   /** The replica was found lost: what it may have been working on since it was given up counts. */
-  noteReplicaLost(replicaId: string): void {
+  recordReplicaLoss(replicaId: string): void {
     for (const { request, isTrial } of this.abandoned.takeAll(replicaId)) {
-      this.noteEnded(request, replicaId, isTrial);
+      this.recordTermination(request, replicaId, isTrial);
     }
   }
 
   /** Takes what the controllers agreed on; older word than is known changes nothing. */
-  take(entry: QuarantineEntry): void {
+  applyEntry(entry: QuarantineEntry): void {
     const { fingerprint, state } = entry;
     const before = this.stateOf(fingerprint);
-    if (!this.knowledge.take(entry)) return;
-    const isSettled = !isHeldAgainst(state) || this.knowledge.isAllAgreed(fingerprint);
-    if (isSettled) this.reporter.settle(fingerprint);
-    if (this.knowledge.hasRecentAnswer(fingerprint)) this.clear(fingerprint);
-    this.logChange(before, entry);
-    this.grants.take(entry);
-    this.turns.wake(fingerprint);
+    if (!this.evidenceStore.applyEntry(entry)) return;
+    const isSettled = !isActiveState(state) || this.evidenceStore.isFullyReplicated(fingerprint);
+    if (isSettled) this.reporter.discard(fingerprint);
+    if (this.evidenceStore.hasRecentAnswer(fingerprint)) this.clearEvidence(fingerprint);
+    this.logStateChange(before, entry);
+    this.grants.applyEntry(entry);
+    this.slots.notifyWaiters(fingerprint);
   }
 
   /** What all gateways suspect is tried by one of them at a time, the rest by each for itself. */
-  private mayTry(fingerprint: string): boolean {
-    if (!this.turns.isFree(fingerprint)) return false;
-    const agreed = this.knowledge.agreedSuspicion(fingerprint);
-    const isPermitted = agreed === undefined || this.grants.use(agreed);
-    return isPermitted && this.turns.take(fingerprint);
+  private tryStartTrial(fingerprint: string): boolean {
+    if (!this.slots.isFree(fingerprint)) return false;
+    const agreed = this.evidenceStore.replicatedSuspicion(fingerprint);
+    const isPermitted = agreed === undefined || this.grants.tryUse(agreed);
+    return isPermitted && this.slots.tryAcquire(fingerprint);
   }
 
   /** Whoever waits takes the permission; when nobody does any more, it is given back. */
-  private offerGrant(fingerprint: string): void {
-    this.turns.wake(fingerprint);
-    if (this.turns.isFree(fingerprint)) this.grants.release(fingerprint);
+  private onGrantChange(fingerprint: string): void {
+    this.slots.notifyWaiters(fingerprint);
+    if (this.slots.isFree(fingerprint)) this.grants.release(fingerprint);
   }
 
   /** Nothing is held against the request any more; controllers are told if they may know of it. */
-  private clear(fingerprint: string): void {
-    const wasTold = this.knowledge.isAgreed(fingerprint) || this.reporter.hasTold(fingerprint);
-    this.knowledge.clear(fingerprint);
-    this.reporter.settle(fingerprint);
+  private clearEvidence(fingerprint: string): void {
+    const wasTold =
+      this.evidenceStore.hasReplicatedEvidence(fingerprint) ||
+      this.reporter.hasReported(fingerprint);
+    this.evidenceStore.clearEvidence(fingerprint);
+    this.reporter.discard(fingerprint);
     if (!wasTold) return;
     this.reporter.report({ ...NO_EVIDENCE, kind: QuarantineChangeKind.Answer, fingerprint });
   }
 
-  private logChange(before: QuarantineState, { fingerprint, ...evidence }: CrashEvidence): void {
+  private logStateChange(
+    before: QuarantineState,
+    { fingerprint, ...evidence }: CrashEvidence,
+  ): void {
     const after = this.stateOf(fingerprint);
     if (after === before) return;
     const { description, ended, endedInTrial } = evidence;
--- a/src/quarantine/evidence-intake.ts
+++ b/src/quarantine/evidence-intake.ts
@@ -8,14 +8,14 @@
 import { MAXIMUM_FINGERPRINT_LENGTH } from './quarantine-entry.js';
 import type { QuarantineOrders } from './quarantine-orders.js';
 import {
-  MAXIMUM_CHANGES,
+  MAXIMUM_CHANGES_PER_COMMAND,
   isUrgent,
   type QuarantineChange,
   type QuarantineRegister,
 } from './quarantine-register.js';
 
 /** Changes that wait to be proposed. */
-const MAXIMUM_WAITING = 256;
+const MAXIMUM_WAITING_CHANGES = 256;
 
 /** What the intake works on. */
 export interface EvidenceIntakeParts {
@@ -33,16 +33,16 @@
   constructor(private readonly parts: EvidenceIntakeParts) {}
 
   /** Takes a gateway's word. */
-  take(change: QuarantineChange): void {
+  submit(change: QuarantineChange): void {
     const isNamed =
       change.fingerprint.length > 0 && change.fingerprint.length <= MAXIMUM_FINGERPRINT_LENGTH;
-    if (!isNamed || !this.parts.register.isNews(change)) return;
-    if (this.waiting.length >= MAXIMUM_WAITING && !this.makeRoom(change)) return;
+    if (!isNamed || !this.parts.register.wouldChangeEntry(change)) return;
+    if (this.waiting.length >= MAXIMUM_WAITING_CHANGES && !this.evictFor(change)) return;
     this.waiting.push(change);
     if (!this.isProposing) void this.propose();
   }
 
-  private makeRoom(change: QuarantineChange): boolean {
+  private evictFor(change: QuarantineChange): boolean {
     this.dropped += 1;
     const index = this.waiting.findIndex((other) => !isUrgent(other));
     if (index < 0 || !isUrgent(change)) return false;
@@ -54,8 +54,8 @@
     const { orders, register, logger } = this.parts;
     this.isProposing = true;
     while (this.waiting.length > 0) {
-      const batch = this.waiting.splice(0, MAXIMUM_CHANGES);
-      const news = batch.filter((change) => register.isNews(change));
+      const batch = this.waiting.splice(0, MAXIMUM_CHANGES_PER_COMMAND);
+      const news = batch.filter((change) => register.wouldChangeEntry(change));
       if (news.length === 0) continue;
       try {
         await orders.propose(news);
--- a/src/quarantine/evidence-reporter.ts
+++ b/src/quarantine/evidence-reporter.ts
@@ -12,16 +12,16 @@
 /** From the first evidence to its report, and between reports. Longer than most answers take. Milliseconds. */
 const REPORT_INTERVAL_MS = 100;
 /** Reports that are sent at once: a gateway that loses a zone's replicas does not flood the controllers. */
-const REPORTS_AT_ONCE = 8;
+const MAXIMUM_REPORTS_PER_INTERVAL = 8;
 /** A report that has not shown in what the controllers say is sent again, so often at most. */
-const REPEAT_AFTER_MS = 1_000;
-const MAXIMUM_REPEATS = 5;
+const RESEND_INTERVAL_MS = 1_000;
+const MAXIMUM_RESENDS = 5;
 
 /** A change that is to be told, or that was told and has not come back yet. */
 interface PendingReport {
   readonly change: QuarantineChange;
   readonly dueAt: number;
-  readonly repeats: number;
+  readonly sendCount: number;
 }
 
 /** What the reporter works with. */
@@ -42,22 +42,22 @@
   report(change: QuarantineChange): void {
     const { clock } = this.parts;
     const known = this.pending.get(change.fingerprint);
-    const isUntold = known?.repeats === 0;
+    const isUntold = known?.sendCount === 0;
     const dueAt = isUntold ? known.dueAt : clock.now() + REPORT_INTERVAL_MS;
     const report = { change, dueAt, repeats: 0 };
     this.pending.set(change.fingerprint, report);
-    if (isUrgent(change) && this.parts.send(change)) this.noteSent(report, clock.now());
+    if (isUrgent(change) && this.parts.send(change)) this.recordSent(report, clock.now());
     if (!this.isRunning) void this.run();
   }
 
   /** Whether evidence of the request was told to a controller. */
-  hasTold(fingerprint: string): boolean {
+  hasReported(fingerprint: string): boolean {
     const known = this.pending.get(fingerprint);
-    return known !== undefined && known.repeats > 0;
+    return known !== undefined && known.sendCount > 0;
   }
 
   /** The controllers know it, or it counts no more. */
-  settle(fingerprint: string): void {
+  discard(fingerprint: string): void {
     this.pending.delete(fingerprint);
   }
 
@@ -76,18 +76,18 @@
     const now = this.parts.clock.now();
     const due = [...this.pending.values()].filter(({ dueAt }) => dueAt <= now);
     due.sort((left, right) => Number(isUrgent(right.change)) - Number(isUrgent(left.change)));
-    for (const report of due.slice(0, REPORTS_AT_ONCE)) {
+    for (const report of due.slice(0, MAXIMUM_REPORTS_PER_INTERVAL)) {
       if (!this.parts.send(report.change)) return;
-      this.noteSent(report, now);
+      this.recordSent(report, now);
     }
   }
 
-  private noteSent({ change, repeats }: PendingReport, now: number): void {
-    if (repeats >= MAXIMUM_REPEATS) {
+  private recordSent({ change, sendCount: repeats }: PendingReport, now: number): void {
+    if (repeats >= MAXIMUM_RESENDS) {
       this.pending.delete(change.fingerprint);
       return;
     }
-    const dueAt = now + REPEAT_AFTER_MS;
-    this.pending.set(change.fingerprint, { change, dueAt, repeats: repeats + 1 });
+    const dueAt = now + RESEND_INTERVAL_MS;
+    this.pending.set(change.fingerprint, { change, dueAt, sendCount: repeats + 1 });
   }
 }
--- a/src/quarantine/quarantine-entry.ts
+++ b/src/quarantine/quarantine-entry.ts
@@ -4,15 +4,15 @@
  * Replicas that end under a request, at whatever gateways, before all gateways are told to try
  * it on one replica alone: a replica that ends has many requests, and few of them lose more.
  */
-const SUSPECTED_AFTER = 3;
+const TERMINATIONS_TO_SUSPECT = 3;
 /**
  * Replicas that end under a suspected request while a gateway has but one sending of it under
  * way. One may have ended by chance at that moment; a second one leaves little doubt.
  */
-const QUARANTINED_AFTER_TRIALS = 2;
+const TRIAL_TERMINATIONS_TO_QUARANTINE = 2;
 
 /** Replicas that are remembered of one request; further ones add nothing. */
-const MAXIMUM_REPLICAS = 8;
+const MAXIMUM_REPLICAS_PER_ENTRY = 8;
 const MAXIMUM_REPLICA_ID_LENGTH = 64;
 const MAXIMUM_DESCRIPTION_LENGTH = 160;
 export const MAXIMUM_FINGERPRINT_LENGTH = 64;
@@ -55,26 +55,27 @@
 }
 
 /** What follows from so many replicas that ended. */
-export function judge(ended: number, endedInTrial: number): QuarantineState {
-  if (ended < SUSPECTED_AFTER && endedInTrial === 0) return QuarantineState.Observed;
-  const isCause = ended >= SUSPECTED_AFTER && endedInTrial >= QUARANTINED_AFTER_TRIALS;
+export function stateFor(ended: number, endedInTrial: number): QuarantineState {
+  if (ended < TERMINATIONS_TO_SUSPECT && endedInTrial === 0) return QuarantineState.Observed;
+  const isCause =
+    ended >= TERMINATIONS_TO_SUSPECT && endedInTrial >= TRIAL_TERMINATIONS_TO_QUARANTINE;
   return isCause ? QuarantineState.Quarantined : QuarantineState.Suspected;
 }
 
 /** The same where nothing is tried: what would be suspected is refused. */
-export function judgeWithoutTrials(ended: number): QuarantineState {
-  return ended < SUSPECTED_AFTER ? QuarantineState.Observed : QuarantineState.Quarantined;
+export function stateWithoutTrials(ended: number): QuarantineState {
+  return ended < TERMINATIONS_TO_SUSPECT ? QuarantineState.Observed : QuarantineState.Quarantined;
 }
 
 /** Whether the evidence counts against the request still. */
-export function isHeldAgainst(state: QuarantineState): boolean {
+export function isActiveState(state: QuarantineState): boolean {
   return state !== QuarantineState.Answered && state !== QuarantineState.Lifted;
 }
 
 /** Both lists without repetitions, bounded. */
-export function joinReplicas(known: readonly string[], further: readonly string[]): string[] {
+export function mergeReplicaIds(known: readonly string[], further: readonly string[]): string[] {
   const ids = further.map((id) => id.slice(0, MAXIMUM_REPLICA_ID_LENGTH));
-  return [...new Set([...known, ...ids])].slice(0, MAXIMUM_REPLICAS);
+  return [...new Set([...known, ...ids])].slice(0, MAXIMUM_REPLICAS_PER_ENTRY);
 }
 
 /** How a request is shown to people; without its query, which may hold what is nobody's business. */
--- a/src/quarantine/quarantine-orders.ts
+++ b/src/quarantine/quarantine-orders.ts
@@ -3,7 +3,7 @@
 import { SectionTag, sectionCommand } from '../consensus/sectioned-state-machine.js';
 import { DriftwayError, ErrorLabel } from '../errors/driftway-error.js';
 import type { Logger } from '../observability/logger.js';
-import { QuarantineState, isHeldAgainst, type QuarantineEntry } from './quarantine-entry.js';
+import { QuarantineState, isActiveState, type QuarantineEntry } from './quarantine-entry.js';
 import {
   NO_EVIDENCE,
   QuarantineChangeKind,
@@ -76,7 +76,7 @@
   applied(): readonly QuarantineEntry[] {
     return this.options.register
       .all()
-      .filter(({ state }) => isHeldAgainst(state) && state !== QuarantineState.Observed)
+      .filter(({ state }) => isActiveState(state) && state !== QuarantineState.Observed)
       .reverse();
   }
 }
--- a/src/quarantine/quarantine-register.ts
+++ b/src/quarantine/quarantine-register.ts
@@ -11,15 +11,15 @@
 import {
   MAXIMUM_ENTRIES,
   QuarantineState,
-  isHeldAgainst,
-  joinReplicas,
-  judge,
+  isActiveState,
+  mergeReplicaIds,
+  stateFor,
   type CrashEvidence,
   type QuarantineEntry,
 } from './quarantine-entry.js';
 
 /** Most changes of one command. */
-export const MAXIMUM_CHANGES = 64;
+export const MAXIMUM_CHANGES_PER_COMMAND = 64;
 
 /** What a change says. */
 export enum QuarantineChangeKind {
@@ -146,20 +146,20 @@
   }
 
   /** Whether the change would change anything; most repetitions need not be proposed. */
-  isNews(change: QuarantineChange): boolean {
-    return this.after(change) !== undefined;
+  wouldChangeEntry(change: QuarantineChange): boolean {
+    return this.entryAfter(change) !== undefined;
   }
 
   apply(command: Uint8Array): Uint8Array {
     let changed = 0;
-    for (const stored of changeType.decodeAll(asBuffer(command), MAXIMUM_CHANGES)) {
+    for (const stored of changeType.decodeAll(asBuffer(command), MAXIMUM_CHANGES_PER_COMMAND)) {
       const change = {
         ...stored,
         kind: stored.kind as QuarantineChangeKind,
         ended: splitIds(stored.ended),
         endedInTrial: splitIds(stored.endedInTrial),
       };
-      const after = this.after(change);
+      const after = this.entryAfter(change);
       if (after === undefined) continue;
       this.put(after);
       changed += 1;
@@ -195,30 +195,30 @@
   }
 
   /** The entry after a change, without its revision; undefined when nothing changes. */
-  private after(change: QuarantineChange): Omit<QuarantineEntry, 'revision'> | undefined {
+  private entryAfter(change: QuarantineChange): Omit<QuarantineEntry, 'revision'> | undefined {
     const known = this.entries.get(change.fingerprint);
     switch (change.kind) {
       case QuarantineChangeKind.Evidence:
-        return this.afterEvidence(change, known);
+        return this.entryAfterEvidence(change, known);
       case QuarantineChangeKind.Answer:
-        return this.afterEnd(known, QuarantineState.Answered);
+        return this.entryAfterClearing(known, QuarantineState.Answered);
       case QuarantineChangeKind.Lift:
-        return this.afterEnd(known, QuarantineState.Lifted);
+        return this.entryAfterClearing(known, QuarantineState.Lifted);
       case QuarantineChangeKind.Trial:
-        return this.afterTrial(change, known);
+        return this.entryAfterTrialRequest(change, known);
       case QuarantineChangeKind.TrialEnd:
-        return this.afterTrialEnd(change, known);
+        return this.entryAfterTrialEnd(change, known);
       default:
         // Of a later version: it changes nothing here.
         return undefined;
     }
   }
 
-  private afterEvidence(
+  private entryAfterEvidence(
     { fingerprint, description, ended, endedInTrial }: QuarantineChange,
     known: QuarantineEntry | undefined,
   ): Omit<QuarantineEntry, 'revision'> | undefined {
-    const isNew = known === undefined || !isHeldAgainst(known.state);
+    const isNew = known === undefined || !isActiveState(known.state);
     // Told again, what was held against it before its end counts no more.
     const excused = isNew ? (known?.ended ?? []) : [];
     const before = isNew ? { ended: [], endedInTrial: [], trialHolder: NO_HOLDER } : known;
@@ -227,8 +227,8 @@
     const after = {
       fingerprint,
       description,
-      ended: joinReplicas(before.ended, fresh),
-      endedInTrial: joinReplicas(before.endedInTrial, freshInTrial),
+      ended: mergeReplicaIds(before.ended, fresh),
+      endedInTrial: mergeReplicaIds(before.endedInTrial, freshInTrial),
     };
     const isMore =
       after.ended.length > before.ended.length ||
@@ -236,11 +236,15 @@
     if (!isMore) return undefined;
     const isTrialOver = after.endedInTrial.length > before.endedInTrial.length;
     const trialHolder = isTrialOver ? NO_HOLDER : before.trialHolder;
-    return { ...after, trialHolder, state: judge(after.ended.length, after.endedInTrial.length) };
+    return {
+      ...after,
+      trialHolder,
+      state: stateFor(after.ended.length, after.endedInTrial.length),
+    };
   }
 
   /** One holder at a time, unless the one before is not heard of any more. */
-  private afterTrial(
+  private entryAfterTrialRequest(
     { holder, replaces }: QuarantineChange,
     known: QuarantineEntry | undefined,
   ): Omit<QuarantineEntry, 'revision'> | undefined {
@@ -249,7 +253,7 @@
     return isFree && known.trialHolder !== holder ? { ...known, trialHolder: holder } : undefined;
   }
 
-  private afterTrialEnd(
+  private entryAfterTrialEnd(
     { holder }: QuarantineChange,
     known: QuarantineEntry | undefined,
   ): Omit<QuarantineEntry, 'revision'> | undefined {
@@ -259,11 +263,11 @@
     return { ...known, trialHolder: NO_HOLDER };
   }
 
-  private afterEnd(
+  private entryAfterClearing(
     known: QuarantineEntry | undefined,
     state: QuarantineState.Answered | QuarantineState.Lifted,
   ): Omit<QuarantineEntry, 'revision'> | undefined {
-    if (known === undefined || !isHeldAgainst(known.state)) return undefined;
+    if (known === undefined || !isActiveState(known.state)) return undefined;
     return { ...known, state, trialHolder: NO_HOLDER };
   }
 
@@ -274,10 +278,10 @@
     this.entries.delete(entry.fingerprint);
     this.entries.set(entry.fingerprint, entry);
     this.table.put(entry.fingerprint, entry);
-    if (this.entries.size > MAXIMUM_ENTRIES) this.dropOldest();
+    if (this.entries.size > MAXIMUM_ENTRIES) this.evictOldest();
   }
 
-  private dropOldest(): void {
+  private evictOldest(): void {
     const entries = this.all();
     const isSpared = ({ state }: QuarantineEntry): boolean => state === QuarantineState.Quarantined;
     const oldest = entries.find((entry) => !isSpared(entry)) ?? entries[0];
--- a/src/quarantine/trial-grants.ts
+++ b/src/quarantine/trial-grants.ts
@@ -11,9 +11,9 @@
 /** How often a request for a permission is looked after. Milliseconds. */
 const CHECK_INTERVAL_MS = 250;
 /** Controllers that have not given a permission to anybody for so long have no quorum. Milliseconds. */
-const UNANSWERED_MS = 500;
+const UNANSWERED_TIMEOUT_MS = 500;
 /** A trial ends far sooner; its gateway is taken for lost. Milliseconds. */
-const HOLDER_LOST_MS = 2_000;
+const HOLDER_TIMEOUT_MS = 2_000;
 
 /** A permission that was asked for. */
 interface GrantRequest {
@@ -37,23 +37,23 @@
   /** Sends a change to a controller; false while none is followed. */
   readonly send: (change: QuarantineChange) => boolean;
   /** A permission has come, or one is to be asked for anew. */
-  readonly onNews: (fingerprint: string) => void;
+  readonly onChange: (fingerprint: string) => void;
 }
 
 /** See the module comment. */
 export class TrialGrants {
   private readonly requests = new Map<string, GrantRequest>();
-  private asked = 0;
+  private requestCount = 0;
 
   constructor(private readonly parts: TrialGrantsParts) {}
 
   /** Whether a trial begins now; if not, a permission is asked for, and `onNews` tells when it may be there. */
-  use(entry: QuarantineEntry): boolean {
+  tryUse(entry: QuarantineEntry): boolean {
     const { fingerprint } = entry;
-    const request = this.requests.get(fingerprint) ?? this.ask(entry);
+    const request = this.requests.get(fingerprint) ?? this.requestGrant(entry);
     if (!request.isGranted || request.isUsed) return false;
     request.isUsed = true;
-    request.timer = this.parts.clock.setTimer(HOLDER_LOST_MS, () => this.giveUp(fingerprint));
+    request.timer = this.parts.clock.setTimer(HOLDER_TIMEOUT_MS, () => this.expire(fingerprint));
     return true;
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Takes newer word of the controllers about a request. */
-  take({ fingerprint, trialHolder, state }: QuarantineEntry): void {
+  applyEntry({ fingerprint, trialHolder, state }: QuarantineEntry): void {
     const request = this.requests.get(fingerprint);
     if (request === undefined) return;
     if (state !== QuarantineState.Suspected) this.drop(fingerprint);
@@ -74,14 +74,14 @@
       this.grant(fingerprint, request);
       return;
     }
-    if (trialHolder !== request.otherHolder) this.noteOther(request, trialHolder);
-    if (trialHolder === '') this.sendAsk(fingerprint, request);
+    if (trialHolder !== request.otherHolder) this.recordOtherHolder(request, trialHolder);
+    if (trialHolder === '') this.sendGrantRequest(fingerprint, request);
   }
 
   /** The trial goes on at a replica that hangs: others are not to wait for it any longer. */
-  private giveUp(fingerprint: string): void {
+  private expire(fingerprint: string): void {
     this.release(fingerprint);
-    this.parts.onNews(fingerprint);
+    this.parts.onChange(fingerprint);
   }
 
   private drop(fingerprint: string): GrantRequest | undefined {
@@ -92,10 +92,10 @@
   }
 
   /** Granted at once when no controller can be asked. */
-  private ask({ fingerprint, trialHolder }: QuarantineEntry): GrantRequest {
-    this.asked += 1;
+  private requestGrant({ fingerprint, trialHolder }: QuarantineEntry): GrantRequest {
+    this.requestCount += 1;
     const request: GrantRequest = {
-      holder: `${this.parts.gateway}/${this.asked}`,
+      holder: `${this.parts.gateway}/${this.requestCount}`,
       isGranted: false,
       isUsed: false,
       otherHolder: trialHolder,
@@ -103,7 +103,7 @@
       timer: undefined,
     };
     this.requests.set(fingerprint, request);
-    request.isGranted = !this.sendAsk(fingerprint, request);
+    request.isGranted = !this.sendGrantRequest(fingerprint, request);
     if (!request.isGranted) this.watch(fingerprint, request);
     return request;
   }
@@ -117,23 +117,24 @@
 
   private check(fingerprint: string, request: GrantRequest): void {
     const waited = this.parts.clock.now() - request.otherSince;
-    const isUnanswered = request.otherHolder === '' && waited >= UNANSWERED_MS;
+    const isUnanswered = request.otherHolder === '' && waited >= UNANSWERED_TIMEOUT_MS;
     if (isUnanswered) this.grant(fingerprint, request);
-    else if (waited >= HOLDER_LOST_MS) this.sendAsk(fingerprint, request, request.otherHolder);
+    else if (waited >= HOLDER_TIMEOUT_MS)
+      this.sendGrantRequest(fingerprint, request, request.otherHolder);
   }
 
   private grant(fingerprint: string, request: GrantRequest): void {
     request.isGranted = true;
     request.timer?.cancel();
-    this.parts.onNews(fingerprint);
+    this.parts.onChange(fingerprint);
   }
 
-  private noteOther(request: GrantRequest, holder: string): void {
+  private recordOtherHolder(request: GrantRequest, holder: string): void {
     request.otherHolder = holder;
     request.otherSince = this.parts.clock.now();
   }
 
-  private sendAsk(fingerprint: string, { holder }: GrantRequest, replaces = ''): boolean {
+  private sendGrantRequest(fingerprint: string, { holder }: GrantRequest, replaces = ''): boolean {
     return this.sendChange(QuarantineChangeKind.Trial, fingerprint, holder, replaces);
   }
 
--- a/src/quarantine/trial-turns.ts
+++ b/src/quarantine/trial-slots.ts
@@ -9,21 +9,21 @@
  * After this the next trial may begin although the one before has not ended: several times what
  * replicas take for an answer, and far less than callers wait. Milliseconds.
  */
-const LONGEST_TURN_MS = 400;
+const SLOT_TIMEOUT_MS = 400;
 
 /** The trials of one request, and who waits. */
-interface Turns {
+interface TrialSlot {
   /** Trials that have not ended. */
-  active: number;
+  activeTrials: number;
   /** Whether the next one may begin. */
   isFree: boolean;
   timer: Timer | undefined;
-  readonly waiting: Set<() => void>;
+  readonly waiters: Set<() => void>;
 }
 
 /** See the module comment. */
-export class TrialTurns {
-  private readonly byFingerprint = new Map<string, Turns>();
+export class TrialSlots {
+  private readonly byFingerprint = new Map<string, TrialSlot>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -32,61 +32,67 @@
     return this.byFingerprint.get(fingerprint)?.isFree !== false;
   }
 
-  /** True when the caller may try the request, until {@link TrialTurns.end}. */
-  take(fingerprint: string): boolean {
-    const turns = this.turnsOf(fingerprint);
+  /** True when the caller may try the request, until {@link TrialSlots.release}. */
+  tryAcquire(fingerprint: string): boolean {
+    const turns = this.slotOf(fingerprint);
     if (!turns.isFree) return false;
     turns.isFree = false;
-    turns.active += 1;
-    turns.timer = this.clock.setTimer(LONGEST_TURN_MS, () => this.free(fingerprint, turns));
+    turns.activeTrials += 1;
+    turns.timer = this.clock.setTimer(SLOT_TIMEOUT_MS, () => this.markFree(fingerprint, turns));
     return true;
   }
 
   /** Calls `callback` once, when it may be the caller's turn or more is known of the request. */
   wait(fingerprint: string, callback: () => void): void {
-    this.turnsOf(fingerprint).waiting.add(callback);
+    this.slotOf(fingerprint).waiters.add(callback);
   }
 
   /** The callback is no longer wanted. */
   cancel(fingerprint: string, callback: () => void): void {
     const turns = this.byFingerprint.get(fingerprint);
     if (turns === undefined) return;
-    turns.waiting.delete(callback);
+    turns.waiters.delete(callback);
     this.dropIfUnused(fingerprint, turns);
   }
 
   /** A trial has ended. */
-  end(fingerprint: string): void {
+  release(fingerprint: string): void {
     const turns = this.byFingerprint.get(fingerprint);
     if (turns === undefined) return;
-    turns.active -= 1;
-    if (turns.active === 0) this.free(fingerprint, turns);
+    turns.activeTrials -= 1;
+    if (turns.activeTrials === 0) this.markFree(fingerprint, turns);
   }
 
   /** More is known of the request: those that wait look again, in the order in which they came. */
-  wake(fingerprint: string): void {
+  notifyWaiters(fingerprint: string): void {
     const turns = this.byFingerprint.get(fingerprint);
     if (turns === undefined) return;
-    const woken = [...turns.waiting];
-    turns.waiting.clear();
+    const woken = [...turns.waiters];
+    turns.waiters.clear();
     this.dropIfUnused(fingerprint, turns);
     for (const callback of woken) callback();
   }
 
-  private free(fingerprint: string, turns: Turns): void {
+  private markFree(fingerprint: string, turns: TrialSlot): void {
     turns.isFree = true;
     turns.timer?.cancel();
-    this.wake(fingerprint);
+    this.notifyWaiters(fingerprint);
   }
 
-  private dropIfUnused(fingerprint: string, turns: Turns): void {
-    if (turns.active === 0 && turns.waiting.size === 0) this.byFingerprint.delete(fingerprint);
+  private dropIfUnused(fingerprint: string, turns: TrialSlot): void {
+    if (turns.activeTrials === 0 && turns.waiters.size === 0)
+      this.byFingerprint.delete(fingerprint);
   }
 
-  private turnsOf(fingerprint: string): Turns {
+  private slotOf(fingerprint: string): TrialSlot {
     const known = this.byFingerprint.get(fingerprint);
     if (known !== undefined) return known;
-    const turns: Turns = { active: 0, isFree: true, timer: undefined, waiting: new Set() };
+    const turns: TrialSlot = {
+      activeTrials: 0,
+      isFree: true,
+      timer: undefined,
+      waiters: new Set(),
+    };
     this.byFingerprint.set(fingerprint, turns);
     return turns;
   }
--- a/src/router/answer-writer.ts
+++ b/src/router/answer-serializer.ts
@@ -3,7 +3,7 @@
 import type { ReachedShard } from './execution-result.js';
 
 /** The JSON text of a {@link QueryAnswer}. */
-export function writeAnswer(
+export function serializeAnswer(
   head: Omit<QueryAnswer, 'results'>,
   results: readonly ReachedShard[],
 ): string {
--- a/src/router/backend-attempt.ts
+++ b/src/router/backend-attempt.ts
@@ -10,12 +10,12 @@
 import type { QueryContext } from './query-context.js';
 import {
   findMismatch,
-  readDisposition,
-  readReplyMark,
+  parseDisposition,
+  parseReplyMark,
   type AttemptIdentity,
   type DroppedReplyReason,
 } from './reply-verification.js';
-import type { ReplyBuffer } from './reply-buffer.js';
+import type { ReplyMemoryBudget } from './reply-memory-budget.js';
 import type { RouterContext } from './router-context.js';
 
 /** Where the attempt goes. */
@@ -36,7 +36,7 @@
     private readonly router: RouterContext,
     private readonly query: QueryContext,
     private readonly target: AttemptTarget,
-    private readonly replies: ReplyBuffer,
+    private readonly replyMemory: ReplyMemoryBudget,
   ) {
     this.identity = {
       requestId: query.backendRequestId,
@@ -52,7 +52,7 @@
     const { record } = this.target;
     record.beginAttempt();
     const outcome = await this.exchange(signal);
-    if (outcome.kind === 'failed') this.replies.release(this.bytesReceived);
+    if (outcome.kind === 'failed') this.replyMemory.release(this.bytesReceived);
     record.endAttempt();
     return outcome;
   }
@@ -62,9 +62,9 @@
     const startedAt = clock.now();
     try {
       const response = await this.send(signal, startedAt);
-      return this.judge(response, clock.now() - startedAt);
+      return this.classifyResponse(response, clock.now() - startedAt);
     } catch (error) {
-      return this.judgeError(error, clock.now() - startedAt);
+      return this.classifyError(error, clock.now() - startedAt);
     }
   }
 
@@ -77,8 +77,8 @@
       body: this.query.queryText,
       signal,
       freshConnection: !request.repeatable,
-      acceptResponse: (headers) => this.accepts(headers),
-      acceptBytes: (bytes) => this.takeBytes(bytes),
+      acceptResponse: (headers) => this.verifyHeaders(headers),
+      acceptBytes: (bytes) => this.reserveBytes(bytes),
     });
   }
 
@@ -95,28 +95,28 @@
     };
   }
 
-  private takeBytes(bytes: number): boolean {
+  private reserveBytes(bytes: number): boolean {
     this.bytesReceived += bytes;
-    return this.replies.take(bytes);
+    return this.replyMemory.reserve(bytes);
   }
 
   /** Asked when the header is there, so that an untrustworthy connection is closed at once. */
-  private accepts(headers: HttpHeaders): boolean {
+  private verifyHeaders(headers: HttpHeaders): boolean {
     const { skipReplyMatching } = this.router.faults;
     this.mismatch = skipReplyMatching ? undefined : findMismatch(this.identity, headers);
     return this.mismatch === undefined;
   }
 
-  private judge(response: HttpClientResponse, latency: number): AttemptOutcome {
+  private classifyResponse(response: HttpClientResponse, latency: number): AttemptOutcome {
     const { headers } = response;
-    if (!this.accepts(headers)) return this.drop(this.mismatch ?? 'missing_echo');
+    if (!this.verifyHeaders(headers)) return this.dropReply(this.mismatch ?? 'missing_echo');
     const { registry } = this.router;
     const { record, snapshot, shardId } = this.target;
-    const mark = readReplyMark(headers);
+    const mark = parseReplyMark(headers);
     if (mark !== undefined) registry.onReplyMark(record, mark);
-    switch (readDisposition(headers)) {
+    switch (parseDisposition(headers)) {
       case 'answered':
-        return this.judgeAnswer(response, latency);
+        return this.classifyAnswer(response, latency);
       case 'not_started':
         record.recordFailure();
         return failedAttempt('shed', false);
@@ -128,28 +128,28 @@
         this.query.service.policies.hedge.recordLatency(shardId, latency);
         return failedAttempt('backend_failed', true);
       case undefined:
-        return this.drop('unknown_disposition');
+        return this.dropReply('unknown_disposition');
     }
   }
 
-  private judgeAnswer(response: HttpClientResponse, latency: number): AttemptOutcome {
-    const resultText = readJsonText(response.body);
-    if (resultText === undefined) return this.drop('malformed_body');
+  private classifyAnswer(response: HttpClientResponse, latency: number): AttemptOutcome {
+    const resultText = decodeJsonText(response.body);
+    if (resultText === undefined) return this.dropReply('malformed_body');
     const { record, snapshot, shardId } = this.target;
     this.router.registry.onAnswer(record, snapshot, latency);
-    this.query.service.policies.outliers.recordSuccess(record.process);
+    this.query.service.policies.outlierEjection.recordSuccess(record.process);
     this.query.service.policies.hedge.recordLatency(shardId, latency);
     return { kind: 'answered', resultText, bytes: response.body.length };
   }
 
-  private judgeError(error: unknown, elapsed: number): AttemptOutcome {
+  private classifyError(error: unknown, elapsed: number): AttemptOutcome {
     if (!(error instanceof HttpClientError)) return failedAttempt('connection_lost', true);
-    if (this.mismatch !== undefined) return this.drop(this.mismatch);
+    if (this.mismatch !== undefined) return this.dropReply(this.mismatch);
     const { kind, requestSent } = error;
-    if (kind === 'aborted') return this.giveUp(elapsed, requestSent);
-    if (kind === 'response_too_large') return this.drop('too_large');
-    if (kind === 'malformed_response') return this.drop('malformed_response');
-    if (kind === 'response_truncated') return this.drop('truncated');
+    if (kind === 'aborted') return this.recordCancellation(elapsed, requestSent);
+    if (kind === 'response_too_large') return this.dropReply('too_large');
+    if (kind === 'malformed_response') return this.dropReply('malformed_response');
+    if (kind === 'response_truncated') return this.dropReply('truncated');
     this.recordFailure();
     return failedAttempt(requestSent ? 'connection_lost' : 'connect_failed', requestSent);
   }
@@ -157,18 +157,18 @@
   private recordFailure(): void {
     const { record } = this.target;
     record.recordFailure();
-    this.query.service.policies.outliers.recordFailure(record.process);
+    this.query.service.policies.outlierEjection.recordFailure(record.process);
   }
 
   /** Cancelled: that there was no reply for so long is all that can be learned from it. */
-  private giveUp(elapsed: number, requestSent: boolean): AttemptOutcome {
+  private recordCancellation(elapsed: number, requestSent: boolean): AttemptOutcome {
     this.target.record.recordUnfinished(elapsed);
     this.query.service.policies.hedge.recordUnfinished(this.target.shardId, elapsed);
     return failedAttempt('not_waited_for', requestSent);
   }
 
   /** The request was sent and its reply is lost, so it may have been run. */
-  private drop(reason: DroppedReplyReason): AttemptOutcome {
+  private dropReply(reason: DroppedReplyReason): AttemptOutcome {
     this.router.metrics.droppedReplies.inc({ reason });
     this.recordFailure();
     return failedAttempt('bad_reply', true);
@@ -176,7 +176,7 @@
 }
 
 /** The body as text when it is JSON in UTF-8, else undefined. */
-function readJsonText(body: Uint8Array): string | undefined {
+function decodeJsonText(body: Uint8Array): string | undefined {
   try {
     const text = new TextDecoder('utf-8', { fatal: true }).decode(body);
     JSON.parse(text);
--- a/src/router/coverage-statement.ts
+++ b/src/router/compute-coverage.ts
@@ -2,19 +2,19 @@
 import type { Coverage, MissingReason } from '../model/coverage.js';
 
 /** One shard at the end of a try. */
-export interface ShardStanding {
+export interface ShardCoverage {
   readonly shardId: string;
   /** Undefined when its reply is merged into the answer. */
   readonly missing: MissingReason | undefined;
 }
 
 /** The statement over all shards that were asked, in layout order. */
-export function stateCoverage(standings: readonly ShardStanding[], required: number): Coverage {
+export function computeCoverage(shards: readonly ShardCoverage[], required: number): Coverage {
   const reached: string[] = [];
   const missing: { shardId: string; reason: MissingReason }[] = [];
-  for (const { shardId, missing: reason } of standings) {
+  for (const { shardId, missing: reason } of shards) {
     if (reason === undefined) reached.push(shardId);
     else missing.push({ shardId, reason });
   }
-  return { required, reached, missing, fraction: reached.length / standings.length };
+  return { required, reached, missing, fraction: reached.length / shards.length };
 }
--- a/src/router/execution-result.ts
+++ b/src/router/execution-result.ts
@@ -3,7 +3,7 @@
 import type { QueryPlan } from './query-plan.js';
 
 /** Why the try ended. */
-export type ExecutionEnding =
+export type ExecutionEndReason =
   /** Every shard's part has ended. */
   | 'complete'
   /** Enough shards replied and the completion policy waits no longer. */
@@ -25,7 +25,7 @@
 /** One try, ended. */
 export interface ExecutionResult {
   readonly plan: QueryPlan;
-  readonly ending: ExecutionEnding;
+  readonly endReason: ExecutionEndReason;
   /** Whether the answer may be given. */
   readonly sufficient: boolean;
   readonly coverage: Coverage;
@@ -34,5 +34,5 @@
   /** Whether any back end may have begun to run the request in this try. */
   readonly mayHaveRun: boolean;
   /** Whether a missing shard could be reached on another snapshot. */
-  readonly snapshotLacking: boolean;
+  readonly hasReplicaWithoutSnapshot: boolean;
 }
--- a/src/router/http-responses.ts
+++ b/src/router/http-responses.ts
@@ -21,7 +21,7 @@
 }
 
 /** The path is none of the router's. */
-export function noSuchPath(): HttpResponse {
+export function pathNotFound(): HttpResponse {
   return errorResponse(badRequest('there is no such path', undefined, 404));
 }
 
@@ -37,6 +37,6 @@
 }
 
 /** `response` that also asks the caller to use another connection next time. */
-export function closingConnection(response: HttpResponse): HttpResponse {
+export function withConnectionClose(response: HttpResponse): HttpResponse {
   return { ...response, headers: { ...response.headers, connection: 'close' } };
 }
--- a/src/router/identifier-sequence.ts
+++ b/src/router/identifier-sequence.ts
@@ -1,7 +1,7 @@
 /** Identifiers that no other router, and no other run of this one, gives out. */
 import type { RandomSource } from '../seams/random-source.js';
 
-const RUN_BYTES = 6;
+const INCARNATION_IDENTIFIER_BYTES = 6;
 
 /** Counts within one run of one router. */
 export class IdentifierSequence {
@@ -9,7 +9,7 @@
   private count = 0;
 
   constructor(routerName: string, random: RandomSource) {
-    this.prefix = `${routerName}.${random.nextIdentifier(RUN_BYTES)}`;
+    this.prefix = `${routerName}.${random.nextIdentifier(INCARNATION_IDENTIFIER_BYTES)}`;
   }
 
   /** `router.run.number`. */
@@ -19,7 +19,7 @@
   }
 
   /** The caller's identifier, made unique: `caller's~router.run.number`. */
-  qualify(requestId: string): string {
+  makeUnique(requestId: string): string {
     return `${requestId}~${this.next()}`;
   }
 }
--- a/src/router/in-flight-queries.ts
+++ b/src/router/in-flight-queries.ts
@@ -2,45 +2,45 @@
 
 /** Counts queries and lets the stop wait for the last one. */
 export class InFlightQueries {
-  private readonly cancellations = new Set<AbortController>();
-  private waiters: (() => void)[] = [];
+  private readonly controllers = new Set<AbortController>();
+  private drainCallbacks: (() => void)[] = [];
 
   get size(): number {
-    return this.cancellations.size;
+    return this.controllers.size;
   }
 
   /** Runs `work`, handing it a signal that aborts with `callerGone` or {@link cancelAll}. */
   async track<T>(
-    callerGone: AbortSignal | undefined,
-    work: (signal: AbortSignal) => Promise<T>,
+    callerSignal: AbortSignal | undefined,
+    execute: (signal: AbortSignal) => Promise<T>,
   ): Promise<T> {
     const controller = new AbortController();
-    const onGone = (): void => controller.abort();
-    callerGone?.addEventListener('abort', onGone, { once: true });
-    if (callerGone?.aborted === true) controller.abort();
-    this.cancellations.add(controller);
+    const onCallerAbort = (): void => controller.abort();
+    callerSignal?.addEventListener('abort', onCallerAbort, { once: true });
+    if (callerSignal?.aborted === true) controller.abort();
+    this.controllers.add(controller);
     try {
-      return await work(controller.signal);
+      return await execute(controller.signal);
     } finally {
-      callerGone?.removeEventListener('abort', onGone);
-      this.cancellations.delete(controller);
-      if (this.cancellations.size === 0) this.wakeWaiters();
+      callerSignal?.removeEventListener('abort', onCallerAbort);
+      this.controllers.delete(controller);
+      if (this.controllers.size === 0) this.notifyDrained();
     }
   }
 
   /** Resolves once no query is in flight. */
-  drained(): Promise<void> {
-    if (this.cancellations.size === 0) return Promise.resolve();
-    return new Promise((resolve) => this.waiters.push(resolve));
+  whenDrained(): Promise<void> {
+    if (this.controllers.size === 0) return Promise.resolve();
+    return new Promise((resolve) => this.drainCallbacks.push(resolve));
   }
 
   cancelAll(): void {
-    for (const controller of this.cancellations) controller.abort();
+    for (const controller of this.controllers) controller.abort();
   }
 
-  private wakeWaiters(): void {
-    const { waiters } = this;
-    this.waiters = [];
-    for (const wake of waiters) wake();
+  private notifyDrained(): void {
+    const { drainCallbacks: callbacks } = this;
+    this.drainCallbacks = [];
+    for (const callback of callbacks) callback();
   }
 }
--- a/src/router/outcome-ledger.ts
+++ b/src/router/outcome-store.ts
@@ -7,26 +7,26 @@
 import type { Clock } from '../seams/clock.js';
 import type { FinishedQuery } from './finished-query.js';
 import { badRequest, QueryError, refusedNotRun } from './query-error.js';
-import type { ReadQuery } from './query-reader.js';
+import type { ParsedQuery } from './query-parser.js';
 
 /** A request id is remembered at least this long after its receipt. Milliseconds. */
-export const REMEMBER_MS = 3_600_000;
+export const REQUEST_ID_RETENTION_MS = 3_600_000;
 /** Ids remembered for each outcome kept whole; an id alone takes about 200 bytes. */
-export const IDS_PER_OUTCOME = 10;
+export const REQUEST_IDS_PER_OUTCOME = 10;
 /** Bodies of all outcomes kept together. Bytes. */
 export const MAXIMUM_OUTCOME_BYTES = 268_435_456;
 
 /** Bounds of one ledger. */
-export interface OutcomeLedgerLimits {
+export interface OutcomeStoreLimits {
   /** Outcomes kept whole. */
   readonly outcomes: number;
   /** Request ids remembered, with or without their outcome. */
-  readonly ids: number;
+  readonly requestIds: number;
   /** Bytes. */
   readonly bytes: number;
 }
 
-interface Entry {
+interface OutcomeEntry {
   readonly fingerprint: bigint;
   readonly receivedAt: number;
   /** Undefined once evicted: the id is known, its outcome no longer. */
@@ -36,22 +36,22 @@
 }
 
 /** What of a request has to be the same in a resend; its deadline may differ. */
-function fingerprintOf({ request, queryText }: ReadQuery): bigint {
+function fingerprintOf({ request, queryText }: ParsedQuery): bigint {
   const { team, key = null, requiredCoverage = null } = request;
   return xxh3.xxh128(JSON.stringify([team, key, requiredCoverage, queryText]));
 }
 
 /** The ledger of one run of one router. */
-export class OutcomeLedger {
+export class OutcomeStore {
   /** In order of receipt. */
-  private readonly entries = new Map<string, Entry>();
+  private readonly entries = new Map<string, OutcomeEntry>();
   /** Keys of finished outcomes that are kept whole, in order of finishing. */
-  private readonly kept = new Set<string>();
-  private keptBytes = 0;
+  private readonly storedKeys = new Set<string>();
+  private storedBytes = 0;
 
   constructor(
     private readonly clock: Clock,
-    private readonly limits: OutcomeLedgerLimits,
+    private readonly limits: OutcomeStoreLimits,
   ) {}
 
   /**
@@ -61,11 +61,11 @@
    * @throws QueryError of code `bad_request` when the id belongs to a different
    *   request, and `outcome_unknown` when the outcome is no longer kept.
    */
-  find(service: string, read: ReadQuery): Promise<FinishedQuery> | undefined {
-    this.forgetOld();
-    const entry = this.entries.get(keyOf(service, read));
+  find(service: string, query: ParsedQuery): Promise<FinishedQuery> | undefined {
+    this.removeExpired();
+    const entry = this.entries.get(keyOf(service, query));
     if (entry === undefined) return undefined;
-    if (read.request.repeatable || entry.fingerprint !== fingerprintOf(read)) {
+    if (query.request.repeatable || entry.fingerprint !== fingerprintOf(query)) {
       throw badRequest('another request with this id was received before', 'requestId');
     }
     if (entry.outcome !== undefined) return entry.outcome;
@@ -81,31 +81,32 @@
    */
   async run(
     service: string,
-    read: ReadQuery,
+    query: ParsedQuery,
     execute: () => Promise<FinishedQuery>,
   ): Promise<FinishedQuery> {
-    this.refuseWhenFull();
-    const key = keyOf(service, read);
+    this.refuseIfFull();
+    const key = keyOf(service, query);
     const outcome = execute();
-    const entry: Entry = {
-      fingerprint: fingerprintOf(read),
+    const entry: OutcomeEntry = {
+      fingerprint: fingerprintOf(query),
       receivedAt: this.clock.now(),
       outcome,
       bytes: undefined,
     };
     this.entries.set(key, entry);
     const finished = await outcome;
-    if (finished.mayHaveRun) this.keep(key, entry, finished);
+    if (finished.mayHaveRun) this.storeOutcome(key, entry, finished);
     else this.entries.delete(key);
     return finished;
   }
 
-  private keep(key: string, entry: Entry, finished: FinishedQuery): void {
+  private storeOutcome(key: string, entry: OutcomeEntry, finished: FinishedQuery): void {
     entry.bytes = Buffer.byteLength(finished.response.body);
-    this.keptBytes += entry.bytes;
-    this.kept.add(key);
-    for (const oldest of this.kept) {
-      const fits = this.kept.size <= this.limits.outcomes && this.keptBytes <= this.limits.bytes;
+    this.storedBytes += entry.bytes;
+    this.storedKeys.add(key);
+    for (const oldest of this.storedKeys) {
+      const fits =
+        this.storedKeys.size <= this.limits.outcomes && this.storedBytes <= this.limits.bytes;
       if (fits) return;
       this.evictOutcome(oldest);
     }
@@ -113,29 +114,29 @@
 
   private evictOutcome(key: string): void {
     const entry = this.entries.get(key);
-    if (entry === undefined || !this.kept.delete(key)) return;
-    this.keptBytes -= entry.bytes ?? 0;
+    if (entry === undefined || !this.storedKeys.delete(key)) return;
+    this.storedBytes -= entry.bytes ?? 0;
     entry.outcome = undefined;
   }
 
-  private forgetOld(): void {
-    const horizon = this.clock.now() - REMEMBER_MS;
+  private removeExpired(): void {
+    const expiryTime = this.clock.now() - REQUEST_ID_RETENTION_MS;
     for (const [key, entry] of this.entries) {
-      if (entry.receivedAt > horizon) return;
+      if (entry.receivedAt > expiryTime) return;
       if (entry.outcome !== undefined && entry.bytes === undefined) return;
       this.evictOutcome(key);
       this.entries.delete(key);
     }
   }
 
-  private refuseWhenFull(): void {
+  private refuseIfFull(): void {
     const [oldest] = this.entries.values();
-    if (this.entries.size < this.limits.ids || oldest === undefined) return;
-    const retryAfter = Math.max(1, oldest.receivedAt + REMEMBER_MS - this.clock.now());
+    if (this.entries.size < this.limits.requestIds || oldest === undefined) return;
+    const retryAfter = Math.max(1, oldest.receivedAt + REQUEST_ID_RETENTION_MS - this.clock.now());
     throw refusedNotRun('no further not repeatable request can be remembered', retryAfter);
   }
 }
 
-function keyOf(service: string, { request }: ReadQuery): string {
+function keyOf(service: string, { request }: ParsedQuery): string {
   return `${service}/${request.requestId}`;
 }
--- a/src/router/query-context.ts
+++ b/src/router/query-context.ts
@@ -1,9 +1,9 @@
 /** What is fixed for the whole life of one query. */
-import type { ReadQuery } from './query-reader.js';
+import type { ParsedQuery } from './query-parser.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
 /** Pinned when the query was received. */
-export interface QueryContext extends ReadQuery {
+export interface QueryContext extends ParsedQuery {
   readonly service: ServiceRuntime;
   /** Whether no source could prove the service's settings the newest when the query came. */
   readonly settingsStale: boolean;
--- a/src/router/query-error.ts
+++ b/src/router/query-error.ts
@@ -15,7 +15,7 @@
     readonly details: QueryErrorDetails,
     context: ErrorContext = { step: 'query' },
   ) {
-    super(reason, { labels: labelsOf(code, mayHaveRun), ...context });
+    super(reason, { labels: errorLabels(code, mayHaveRun), ...context });
   }
 
   /** Body of the HTTP response. */
@@ -25,14 +25,14 @@
   }
 
   /** The same end with more details, such as the request id. */
-  with(details: QueryErrorDetails): QueryError {
+  withDetails(details: QueryErrorDetails): QueryError {
     const { code, status, reason, mayHaveRun, step } = this;
     const merged = { ...details, ...this.details };
     return new QueryError(code, status, reason, mayHaveRun, merged, { step });
   }
 }
 
-function labelsOf(code: QueryErrorCode, mayHaveRun: boolean): ErrorLabel[] {
+function errorLabels(code: QueryErrorCode, mayHaveRun: boolean): ErrorLabel[] {
   if (code === 'bad_request') return [ErrorLabel.BadInput, ErrorLabel.NotRun];
   return mayHaveRun ? [] : [ErrorLabel.NotRun, ErrorLabel.Transient];
 }
--- a/src/router/query-execution.ts
+++ b/src/router/query-execution.ts
@@ -6,11 +6,11 @@
 import type { MissingReason } from '../model/coverage.js';
 import type { CompletionPolicy } from '../policies/completion-policy.js';
 import type { AttemptTally } from './attempt-tally.js';
-import { stateCoverage, type ShardStanding } from './coverage-statement.js';
-import type { ExecutionEnding, ExecutionResult, ReachedShard } from './execution-result.js';
+import { computeCoverage, type ShardCoverage } from './compute-coverage.js';
+import type { ExecutionEndReason, ExecutionResult, ReachedShard } from './execution-result.js';
 import type { QueryContext } from './query-context.js';
 import type { QueryPlan } from './query-plan.js';
-import { ReplyBuffer } from './reply-buffer.js';
+import { ReplyMemoryBudget } from './reply-memory-budget.js';
 import type { RouterContext } from './router-context.js';
 import { ShardExecution } from './shard-execution.js';
 import type { ShardOutcome } from './shard-outcome.js';
@@ -19,13 +19,13 @@
 
 /** Runs one try. Used once. */
 export class QueryExecution {
-  private readonly ended = new AbortController();
+  private readonly endController = new AbortController();
   private readonly wakeup: Wakeup;
-  private readonly replies: ReplyBuffer;
+  private readonly replyMemory: ReplyMemoryBudget;
   private readonly shards: readonly ShardExecution[];
   private readonly outcomes: (ShardOutcome | undefined)[];
-  private readonly needed: number;
-  private readonly askedAt: number;
+  private readonly requiredShards: number;
+  private readonly startedAt: number;
   private reached = 0;
   private pending: number;
   private answerBytes = 0;
@@ -37,18 +37,23 @@
     tally: AttemptTally,
   ) {
     // Every shard may wait on it at the same time.
-    setMaxListeners(0, this.ended.signal);
+    setMaxListeners(0, this.endController.signal);
     this.wakeup = new Wakeup(router.environment.clock);
     const { maximumAnswerBytes } = query.service.settings;
-    this.replies = new ReplyBuffer(maximumAnswerBytes, () => this.wakeup.wake());
+    this.replyMemory = new ReplyMemoryBudget(maximumAnswerBytes, () => this.wakeup.wake());
     // Each shard that waits for a connection or for a retry listens once.
-    setMaxListeners(plan.shards.length + 1, this.ended.signal);
-    const queryTry = { plan, tally, replies: this.replies, ended: this.ended.signal };
-    this.shards = plan.shards.map((shard) => new ShardExecution(router, query, queryTry, shard));
+    setMaxListeners(plan.shards.length + 1, this.endController.signal);
+    const execution = {
+      plan,
+      tally,
+      replyMemory: this.replyMemory,
+      endSignal: this.endController.signal,
+    };
+    this.shards = plan.shards.map((shard) => new ShardExecution(router, query, execution, shard));
     this.outcomes = this.shards.map(() => undefined);
-    this.needed = requiredShardCount(query.requiredCoverage, this.shards.length);
+    this.requiredShards = requiredShardCount(query.requiredCoverage, this.shards.length);
     this.pending = this.shards.length;
-    this.askedAt = router.environment.clock.now();
+    this.startedAt = router.environment.clock.now();
   }
 
   /** Ends at the query's deadline at the latest. Aborting `signal` cancels every attempt. */
@@ -56,35 +61,38 @@
     const onAbort = (): void => this.wakeup.wake();
     signal.addEventListener('abort', onAbort, { once: true });
     const tasks = this.shards.map((shard, index) => this.runShard(shard, index));
-    const ending = await this.waitForEnding(signal);
+    const endReason = await this.waitForEnd(signal);
     signal.removeEventListener('abort', onAbort);
-    this.ended.abort();
+    this.endController.abort();
     this.outcomes.forEach((outcome) => {
-      if (outcome === undefined) this.completion.recordUnfinished(this.sinceAsked);
+      if (outcome === undefined) this.completion.recordUnfinished(this.sinceStart);
     });
     for (const shard of this.shards) shard.cancel();
-    const sufficient = this.isSufficient && ending !== 'answer_too_large' && ending !== 'cancelled';
+    const sufficient =
+      this.isSufficient && endReason !== 'answer_too_large' && endReason !== 'cancelled';
     // Only once every attempt has ended is it known whether any byte left.
     if (!sufficient) await Promise.all(tasks);
-    return this.result(ending, sufficient);
+    return this.createResult(endReason, sufficient);
   }
 
   private async runShard(shard: ShardExecution, index: number): Promise<void> {
     const outcome = await shard.run();
-    if (this.ended.signal.aborted) return;
+    if (this.endController.signal.aborted) return;
     this.pending -= 1;
     this.outcomes[index] = outcome;
     if (outcome.kind === 'answered') {
       this.reached += 1;
-      this.completion.recordReply(this.sinceAsked);
+      this.completion.recordReply(this.sinceStart);
       this.answerBytes += outcome.bytes;
     }
-    if (this.mayEnd(outcome)) this.wakeup.wake();
+    if (this.mayEndWait(outcome)) this.wakeup.wake();
   }
 
   /** Whether the outcome can change the decision to wait; most replies cannot. */
-  private mayEnd(outcome: ShardOutcome): boolean {
-    return outcome.kind === 'missing' || this.isSufficient || this.pending === 0 || this.isTooLarge;
+  private mayEndWait(outcome: ShardOutcome): boolean {
+    return (
+      outcome.kind === 'missing' || this.isSufficient || this.pending === 0 || this.isAnswerTooLarge
+    );
   }
 
   private get completion(): CompletionPolicy {
@@ -92,24 +100,24 @@
   }
 
   /** Milliseconds. */
-  private get sinceAsked(): number {
-    return this.router.environment.clock.now() - this.askedAt;
+  private get sinceStart(): number {
+    return this.router.environment.clock.now() - this.startedAt;
   }
 
   private get isSufficient(): boolean {
-    return this.reached >= this.needed;
+    return this.reached >= this.requiredShards;
   }
 
-  private get isTooLarge(): boolean {
+  private get isAnswerTooLarge(): boolean {
     const { maximumAnswerBytes } = this.query.service.settings;
-    return this.replies.isExceeded || this.answerBytes > maximumAnswerBytes;
+    return this.replyMemory.isExceeded || this.answerBytes > maximumAnswerBytes;
   }
 
-  private async waitForEnding(signal: AbortSignal): Promise<ExecutionEnding> {
+  private async waitForEnd(signal: AbortSignal): Promise<ExecutionEndReason> {
     for (;;) {
       if (signal.aborted) return 'cancelled';
-      if (this.isTooLarge) return 'answer_too_large';
-      if (this.reached + this.pending < this.needed) return 'unreachable';
+      if (this.isAnswerTooLarge) return 'answer_too_large';
+      if (this.reached + this.pending < this.requiredShards) return 'unreachable';
       if (this.pending === 0) return 'complete';
       const remaining = this.query.deadlineAt - this.router.environment.clock.now();
       if (remaining <= 0) return 'deadline';
@@ -127,37 +135,38 @@
       pending: this.pending,
       requiredCoverage: query.requiredCoverage,
       elapsed: this.router.environment.clock.now() - query.receivedAt,
-      sinceAsked: this.sinceAsked,
+      sinceAsked: this.sinceStart,
       remaining,
     });
     return Math.min(furtherWait, remaining);
   }
 
-  private result(ending: ExecutionEnding, sufficient: boolean): ExecutionResult {
-    const standings = this.shards.map((_, index) => this.standing(index, ending));
+  private createResult(endReason: ExecutionEndReason, sufficient: boolean): ExecutionResult {
+    const shards = this.shards.map((_, index) => this.shardCoverage(index, endReason));
     return {
       plan: this.plan,
-      ending,
+      endReason: endReason,
       sufficient,
-      coverage: stateCoverage(standings, this.query.requiredCoverage),
-      results: sufficient ? this.results() : [],
+      coverage: computeCoverage(shards, this.query.requiredCoverage),
+      results: sufficient ? this.reachedShards() : [],
       mayHaveRun: this.shards.some((shard) => shard.mayHaveRun),
-      snapshotLacking: this.shards.some(
-        (shard, index) => this.outcomes[index]?.kind === 'missing' && shard.isSnapshotLacking,
+      hasReplicaWithoutSnapshot: this.shards.some(
+        (shard, index) =>
+          this.outcomes[index]?.kind === 'missing' && shard.hasReplicaWithoutSnapshot,
       ),
     };
   }
 
-  private standing(index: number, ending: ExecutionEnding): ShardStanding {
+  private shardCoverage(index: number, endReason: ExecutionEndReason): ShardCoverage {
     const shardId = this.plan.shards[index]?.shardId ?? '';
     const outcome = this.outcomes[index];
-    const claimed = this.router.faults.claimUnreachedShard || outcome?.kind === 'answered';
-    if (claimed) return { shardId, missing: undefined };
-    const pendingReason: MissingReason = ending === 'deadline' ? 'deadline' : 'not_waited_for';
+    const isReached = this.router.faults.claimUnreachedShard || outcome?.kind === 'answered';
+    if (isReached) return { shardId, missing: undefined };
+    const pendingReason: MissingReason = endReason === 'deadline' ? 'deadline' : 'not_waited_for';
     return { shardId, missing: outcome?.kind === 'missing' ? outcome.reason : pendingReason };
   }
 
-  private results(): ReachedShard[] {
+  private reachedShards(): ReachedShard[] {
     const results: ReachedShard[] = [];
     this.plan.shards.forEach(({ shardId }, index) => {
       const outcome = this.outcomes[index];
--- a/src/router/query-reader.ts
+++ b/src/router/query-parser.ts
@@ -6,7 +6,7 @@
 const QUERY_PATH = /^\/v1\/services\/([^/]{1,64})\/query$/;
 
 /** Text that could hold a number beyond the largest double. */
-const MAY_BE_INFINITE = /[eE]\+?\d{3}|\d{300}/;
+const POSSIBLY_INFINITE_NUMBER = /[eE]\+?\d{3}|\d{300}/;
 
 /**
  * What `JSON.parse` returned needs no second look at whether it is JSON; the
@@ -17,18 +17,18 @@
 });
 
 /** A request and its query as text. */
-export interface ReadQuery {
+export interface ParsedQuery {
   readonly request: QueryRequest;
   /** The query as JSON text, for the back ends. */
   readonly queryText: string;
 }
 
 /** The service a path names, or undefined when it is no query path. */
-export function serviceOfPath(path: string): string | undefined {
+export function parseServiceName(path: string): string | undefined {
   return QUERY_PATH.exec(path)?.[1];
 }
 
-function readText(body: Uint8Array): string {
+function decodeBody(body: Uint8Array): string {
   try {
     return new TextDecoder('utf-8', { fatal: true }).decode(body);
   } catch {
@@ -45,7 +45,7 @@
 }
 
 /** Would be written as null, which is another query. */
-function refuseInfinite(_key: string, value: unknown): unknown {
+function rejectInfinite(_key: string, value: unknown): unknown {
   if (value === Infinity || value === -Infinity) {
     throw badRequest('a number is too large', 'query');
   }
@@ -53,9 +53,9 @@
 }
 
 /** Writing fails only where nesting exhausts the stack. */
-function writeJson(query: unknown, mayBeInfinite: boolean): string {
+function serializeQuery(query: unknown, mayBeInfinite: boolean): string {
   try {
-    return JSON.stringify(query, mayBeInfinite ? refuseInfinite : undefined);
+    return JSON.stringify(query, mayBeInfinite ? rejectInfinite : undefined);
   } catch (error) {
     if (error instanceof QueryError) throw error;
     throw badRequest('the query is nested too deeply', 'query');
@@ -67,11 +67,11 @@
  *
  * @throws QueryError of code `bad_request` naming the first wrong field.
  */
-export function readQueryRequest(body: Uint8Array): ReadQuery {
-  const text = readText(body);
+export function parseQueryRequest(body: Uint8Array): ParsedQuery {
+  const text = decodeBody(body);
   const result = parsedRequestSchema.safeParse(parseJson(text));
   if (result.success) {
-    const queryText = writeJson(result.data.query, MAY_BE_INFINITE.test(text));
+    const queryText = serializeQuery(result.data.query, POSSIBLY_INFINITE_NUMBER.test(text));
     return { request: result.data as QueryRequest, queryText };
   }
   const [issue] = result.error.issues;
--- a/src/router/query-pipeline.ts
+++ b/src/router/query-pipeline.ts
@@ -1,6 +1,6 @@
 /** A query from admission to its answer or typed error. */
 import type { AdmissionTicket } from '../policies/admission-policy.js';
-import { writeAnswer } from './answer-writer.js';
+import { serializeAnswer } from './answer-serializer.js';
 import { AttemptTally } from './attempt-tally.js';
 import type { ExecutionResult } from './execution-result.js';
 import type { QueryContext } from './query-context.js';
@@ -47,29 +47,29 @@
   private async admit(signal: AbortSignal): Promise<AdmissionTicket> {
     const { request, service } = this.query;
     const { team } = request;
-    const door = service.policies.admission;
-    const decision = await door.admit({ team, remaining: this.remaining, signal });
+    const admission = service.policies.admission;
+    const decision = await admission.admit({ team, remaining: this.remaining, signal });
     if ('release' in decision) return decision;
     this.router.metrics.refusals.inc({ reason: 'admission' });
     throw refusedNotRun(decision.reason, decision.retryAfter, STATUS_TOO_MANY_REQUESTS);
   }
 
   private async execute(signal: AbortSignal): Promise<string> {
-    const first = await this.tryPlan(this.plan(NO_SNAPSHOTS), signal);
-    if (first.sufficient) return this.answer(first);
-    const afresh = this.planAfresh(first, signal);
-    if (afresh === undefined) throw this.errorOf(first);
-    this.router.metrics.plannedAfresh.inc();
-    const second = await this.tryPlan(afresh, signal);
-    if (second.sufficient) return this.answer(second);
-    throw this.errorOf(second);
+    const first = await this.executePlan(this.plan(NO_SNAPSHOTS), signal);
+    if (first.sufficient) return this.serializeResult(first);
+    const secondPlan = this.replan(first, signal);
+    if (secondPlan === undefined) throw this.createError(first);
+    this.router.metrics.replannedQueries.inc();
+    const second = await this.executePlan(secondPlan, signal);
+    if (second.sufficient) return this.serializeResult(second);
+    throw this.createError(second);
   }
 
   private plan(excluded: ReadonlySet<string>): QueryPlan {
     const plan = this.findPlan(excluded);
     if (plan !== undefined && this.remaining > 0) return plan;
-    const why = plan === undefined ? 'no_snapshot' : 'deadline';
-    this.router.metrics.refusals.inc({ reason: why });
+    const refusalReason = plan === undefined ? 'no_snapshot' : 'deadline';
+    this.router.metrics.refusals.inc({ reason: refusalReason });
     throw refusedNotRun(
       plan === undefined
         ? 'no snapshot is held by enough live replicas for the required coverage'
@@ -84,22 +84,22 @@
   }
 
   /** A second plan on another snapshot, for a repeatable query that misses shards for its own. */
-  private planAfresh(first: ExecutionResult, signal: AbortSignal): QueryPlan | undefined {
-    if (!this.query.request.repeatable || !first.snapshotLacking) return undefined;
+  private replan(first: ExecutionResult, signal: AbortSignal): QueryPlan | undefined {
+    if (!this.query.request.repeatable || !first.hasReplicaWithoutSnapshot) return undefined;
     if (signal.aborted || this.remaining <= 0) return undefined;
     return this.findPlan(new Set([first.plan.snapshotText]));
   }
 
-  private async tryPlan(plan: QueryPlan, signal: AbortSignal): Promise<ExecutionResult> {
+  private async executePlan(plan: QueryPlan, signal: AbortSignal): Promise<ExecutionResult> {
     const execution = new QueryExecution(this.router, this.query, plan, this.tally);
     const result = await execution.run(signal);
     this.mayHaveRun ||= result.mayHaveRun;
     return result;
   }
 
-  private answer(result: ExecutionResult): string {
+  private serializeResult(result: ExecutionResult): string {
     const { request, service, settingsStale } = this.query;
-    return writeAnswer(
+    return serializeAnswer(
       {
         requestId: request.requestId,
         service: service.definition.name,
@@ -114,12 +114,12 @@
   }
 
   /** The typed error of a try that brought no answer; given at once, with when to come back. */
-  private errorOf(result: ExecutionResult): QueryError {
-    const { coverage, ending, plan } = result;
+  private createError(result: ExecutionResult): QueryError {
+    const { coverage, endReason: ending, plan } = result;
     const mayHaveRun = this.mayHaveRun && !this.router.faults.claimNotRunAfterSending;
     const context = { step: 'execute' };
     const details = { retryAfterMs: RETRY_AFTER_MS, coverage };
-    const message = messageOf(result);
+    const message = errorMessage(result);
     if (!mayHaveRun) {
       this.router.metrics.refusals.inc({ reason: 'not_started' });
       return new QueryError('refused_not_run', 503, message, false, details, context);
@@ -138,7 +138,7 @@
   }
 }
 
-function messageOf({ ending, coverage }: ExecutionResult): string {
+function errorMessage({ endReason: ending, coverage }: ExecutionResult): string {
   if (ending === 'answer_too_large') return 'the answer is larger than maximumAnswerBytes';
   if (ending === 'cancelled') return 'the query was cancelled';
   const total = coverage.reached.length + coverage.missing.length;
--- a/src/router/reply-buffer.ts
+++ b/src/router/reply-memory-budget.ts
@@ -5,11 +5,11 @@
  */
 
 /** Copies of one shard's reply that may arrive at the same time. */
-const REPLIES_PER_SHARD = 2;
+const CONCURRENT_REPLIES_PER_SHARD = 2;
 
 /** Bytes of the replies of one try. */
-export class ReplyBuffer {
-  private held = 0;
+export class ReplyMemoryBudget {
+  private reservedBytes = 0;
   private exceeded = false;
 
   constructor(
@@ -24,10 +24,10 @@
   }
 
   /** Takes room for `bytes` that have arrived; false when there is none. */
-  take(bytes: number): boolean {
+  reserve(bytes: number): boolean {
     if (this.exceeded) return false;
-    this.held += bytes;
-    if (this.held <= this.maximumAnswerBytes * REPLIES_PER_SHARD) return true;
+    this.reservedBytes += bytes;
+    if (this.reservedBytes <= this.maximumAnswerBytes * CONCURRENT_REPLIES_PER_SHARD) return true;
     this.exceeded = true;
     this.onExceeded();
     return false;
@@ -35,6 +35,6 @@
 
   /** Gives back the room of a reply that is not used. */
   release(bytes: number): void {
-    this.held -= bytes;
+    this.reservedBytes -= bytes;
   }
 }
--- a/src/router/reply-verification.ts
+++ b/src/router/reply-verification.ts
@@ -55,20 +55,20 @@
 }
 
 /** The disposition a reply names, or undefined when it names none that exists. */
-export function readDisposition(headers: HttpHeaders): BackendDisposition | undefined {
+export function parseDisposition(headers: HttpHeaders): BackendDisposition | undefined {
   const text = headers[BackendHeader.Disposition];
   return text !== undefined && DISPOSITIONS.has(text) ? (text as BackendDisposition) : undefined;
 }
 
 /** What the sender said of itself, or undefined when it named no incarnation. */
-export function readReplyMark(headers: HttpHeaders): ReplyMark | undefined {
-  const incarnation = readNumber(headers[BackendHeader.Incarnation]);
+export function parseReplyMark(headers: HttpHeaders): ReplyMark | undefined {
+  const incarnation = parseNumber(headers[BackendHeader.Incarnation]);
   if (!Number.isSafeInteger(incarnation) || incarnation === undefined) return undefined;
   const draining = headers[BackendHeader.Draining] === 'true';
-  return { incarnation, draining, load: readNumber(headers[BackendHeader.Load]) };
+  return { incarnation, draining, load: parseNumber(headers[BackendHeader.Load]) };
 }
 
-function readNumber(text: string | undefined): number | undefined {
+function parseNumber(text: string | undefined): number | undefined {
   if (text === undefined || !/^\d{1,16}(\.\d{1,6})?$/.test(text)) return undefined;
   return Number(text);
 }
--- a/src/router/resends.ts
+++ b/src/router/resend-resolver.ts
@@ -1,19 +1,19 @@
 /** Tells resends of not repeatable requests what became of the first. */
 import type { Clock } from '../seams/clock.js';
-import { withoutReserve } from './answer-reserve.js';
+import { subtractAnswerReserve } from './answer-reserve.js';
 import type { FinishedQuery } from './finished-query.js';
-import type { OutcomeLedger } from './outcome-ledger.js';
+import type { OutcomeStore } from './outcome-store.js';
 import { QueryError } from './query-error.js';
-import type { ReadQuery } from './query-reader.js';
+import type { ParsedQuery } from './query-parser.js';
 
 function outcomeUnknown(reason: string): QueryError {
   return new QueryError('outcome_unknown', 504, reason, true, {}, { step: 'find outcome' });
 }
 
 /** Of one router. */
-export class Resends {
+export class ResendResolver {
   constructor(
-    private readonly ledger: OutcomeLedger,
+    private readonly outcomeStore: OutcomeStore,
     private readonly clock: Clock,
   ) {}
 
@@ -25,11 +25,11 @@
    *   known here; the latter also as the rejection of a first that runs longer
    *   than the resend has time.
    */
-  find(service: string, read: ReadQuery): Promise<FinishedQuery> | undefined {
-    const earlier = this.ledger.find(service, read);
-    const { deadlineMs, repeatable, resend } = read.request;
+  find(service: string, query: ParsedQuery): Promise<FinishedQuery> | undefined {
+    const earlier = this.outcomeStore.find(service, query);
+    const { deadlineMs, repeatable, resend } = query.request;
     if (earlier !== undefined) {
-      return deadlineMs === undefined ? earlier : this.within(deadlineMs, earlier);
+      return deadlineMs === undefined ? earlier : this.withTimeout(deadlineMs, earlier);
     }
     // It may have been run by another router, or by this one before it restarted.
     if (resend === true && !repeatable) {
@@ -38,9 +38,9 @@
     return undefined;
   }
 
-  private within(deadlineMs: number, earlier: Promise<FinishedQuery>): Promise<FinishedQuery> {
+  private withTimeout(deadlineMs: number, earlier: Promise<FinishedQuery>): Promise<FinishedQuery> {
     return new Promise((resolve, reject) => {
-      const timer = this.clock.setTimer(withoutReserve(deadlineMs), () =>
+      const timer = this.clock.setTimer(subtractAnswerReserve(deadlineMs), () =>
         reject(outcomeUnknown('the first request with this id is still running')),
       );
       void earlier.then((finished) => {
