--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -12,12 +12,17 @@
 import type { ConfigurationSource } from '../settings/configuration-source.js';
 import type { ConfigurationState } from '../settings/configuration-state.js';
 import { createClockScheduler } from './clock-scheduler.js';
-import { closingConnection, methodNotAllowed, noSuchPath, textResponse } from './http-responses.js';
+import {
+  withConnectionClose,
+  methodNotAllowed,
+  pathNotFound,
+  textResponse,
+} from './http-responses.js';
 import { IdentifierSequence } from './identifier-sequence.js';
 import { InFlightQueries } from './in-flight-queries.js';
-import { IDS_PER_OUTCOME, MAXIMUM_OUTCOME_BYTES, OutcomeLedger } from './outcome-ledger.js';
+import { REQUEST_IDS_PER_OUTCOME, MAXIMUM_OUTCOME_BYTES, OutcomeStore } from './outcome-store.js';
 import { QueryEndpoint } from './query-endpoint.js';
-import { serviceOfPath } from './query-reader.js';
+import { parseServiceName } from './query-parser.js';
 import type { RouterContext } from './router-context.js';
 import { NO_ROUTER_FAULTS, type RouterFaults } from './router-faults.js';
 import { RouterMetrics } from './router-metrics.js';
@@ -92,7 +97,7 @@
     faults: RouterFaults = NO_ROUTER_FAULTS,
   ): Promise<RouterDaemon> {
     const daemon = new RouterDaemon(environment, configuration, source, telemetry, faults);
-    await daemon.open();
+    await daemon.listen();
     return daemon;
   }
 
@@ -113,25 +118,27 @@
 
   private createEndpoint(): QueryEndpoint {
     const outcomes = this.configuration.limits.maximumRecordedOutcomes;
-    const ledger = new OutcomeLedger(this.context.environment.clock, {
+    const outcomeStore = new OutcomeStore(this.context.environment.clock, {
       outcomes,
-      ids: outcomes * IDS_PER_OUTCOME,
+      requestIds: outcomes * REQUEST_IDS_PER_OUTCOME,
       bytes: MAXIMUM_OUTCOME_BYTES,
     });
     return new QueryEndpoint({
       router: this.context,
       directory: this.directory,
       readiness: this.readiness,
-      ledger,
+      outcomeStore: outcomeStore,
       inFlight: this.inFlight,
       logger: this.logger,
     });
   }
 
-  private async open(): Promise<void> {
+  private async listen(): Promise<void> {
     const { limits, listen } = this.configuration;
     const { network } = this.context.environment;
-    this.listener = await network.listenHttp(listen.http, limits, (request) => this.route(request));
+    this.listener = await network.listenHttp(listen.http, limits, (request) =>
+      this.handleRequest(request),
+    );
     this.logger.info('router listening', { http: formatAddress(this.address) });
     const { registry } = this.context;
     this.subscribe(this.source.revisions, (state) => this.applyRevision(state));
@@ -152,47 +159,47 @@
   private applyRevision(state: ConfigurationState): void {
     const isFirst = this.directory.revision === undefined;
     this.directory.apply(state);
-    this.readiness.noteConfigured();
+    this.readiness.markConfigured();
     if (isFirst) void this.becomeReady(state.revision);
   }
 
   private async becomeReady(revision: number): Promise<void> {
     await this.context.registry.firstReports();
-    this.readiness.noteReported();
+    this.readiness.markReplicasPolled();
     if (!this.readiness.isStopping) this.logger.info('router ready', { revision });
   }
 
-  private async route(request: HttpRequest): Promise<HttpResponse> {
+  private async handleRequest(request: HttpRequest): Promise<HttpResponse> {
     const response = await this.respond(request);
-    return this.readiness.isStopping ? closingConnection(response) : response;
+    return this.readiness.isStopping ? withConnectionClose(response) : response;
   }
 
   private async respond(request: HttpRequest): Promise<HttpResponse> {
     const { method, path } = request;
-    const service = serviceOfPath(path);
+    const service = parseServiceName(path);
     if (service !== undefined && method === 'POST') return this.endpoint.handle(request, service);
     if (path === '/livez') return textResponse(200, 'live\n');
-    if (path === '/readyz') return this.readyz();
-    if (path === '/metrics') return this.metrics();
-    return service === undefined ? noSuchPath() : methodNotAllowed();
+    if (path === '/readyz') return this.respondReadiness();
+    if (path === '/metrics') return this.respondMetrics();
+    return service === undefined ? pathNotFound() : methodNotAllowed();
   }
 
-  private readyz(): HttpResponse {
-    const reason = this.readiness.reason();
+  private respondReadiness(): HttpResponse {
+    const reason = this.readiness.notReadyReason();
     return reason === undefined ? textResponse(200, 'ready\n') : textResponse(503, `${reason}\n`);
   }
 
-  private async metrics(): Promise<HttpResponse> {
+  private async respondMetrics(): Promise<HttpResponse> {
     const { registry } = this.telemetry;
     return textResponse(200, await registry.metrics(), registry.contentType);
   }
 
   private async shutDown(): Promise<void> {
-    this.readiness.noteStopping();
+    this.readiness.markStopping();
     this.logger.info('router stopping', { inFlight: this.inFlight.size });
     if (this.context.faults.cutInFlightAtStop) this.inFlight.cancelAll();
     await this.context.environment.clock.sleep(STOP_NOTICE_MS);
-    await this.inFlight.drained();
+    await this.inFlight.whenDrained();
     await this.listener?.close();
     this.endSubscriptions(undefined);
     await this.context.registry.stop();
--- a/src/router/router-metrics.ts
+++ b/src/router/router-metrics.ts
@@ -10,7 +10,7 @@
   readonly attempts;
   readonly droppedReplies;
   readonly refusals;
-  readonly plannedAfresh;
+  readonly replannedQueries;
   readonly joinedResends;
   readonly queriesInFlight;
   /** Seconds, as is usual for Prometheus. */
@@ -42,7 +42,7 @@
       labelNames: ['reason'] as const,
       registers,
     });
-    this.plannedAfresh = new Counter({
+    this.replannedQueries = new Counter({
       name: 'driftway_router_planned_afresh_total',
       help: 'Queries planned a second time because shards lacked their snapshot.',
       registers,
--- a/src/router/router-readiness.ts
+++ b/src/router/router-readiness.ts
@@ -10,7 +10,7 @@
 /** Reasons not to take a query. */
 export type NotReadyReason = 'stopping' | 'no_configuration' | 'no_reports' | 'stale_settings';
 
-const MESSAGES: Readonly<Record<NotReadyReason, string>> = {
+const REFUSAL_MESSAGES: Readonly<Record<NotReadyReason, string>> = {
   stopping: 'this router is stopping',
   no_configuration: 'this router has no configuration yet',
   no_reports: 'this router has not asked the replicas for their reports yet',
@@ -20,24 +20,24 @@
 /** State of one router. */
 export class RouterReadiness {
   private stopping = false;
-  private configured = false;
-  private reported = false;
-  private wasFresh = true;
+  private hasConfiguration = false;
+  private hasPolledReplicas = false;
+  private lastLoggedIsFresh = true;
 
   constructor(
     private readonly source: ConfigurationSource,
     private readonly logger: Logger,
   ) {}
 
-  noteConfigured(): void {
-    this.configured = true;
+  markConfigured(): void {
+    this.hasConfiguration = true;
   }
 
-  noteReported(): void {
-    this.reported = true;
+  markReplicasPolled(): void {
+    this.hasPolledReplicas = true;
   }
 
-  noteStopping(): void {
+  markStopping(): void {
     this.stopping = true;
   }
 
@@ -46,15 +46,15 @@
   }
 
   /** Why the router as a whole takes no query; undefined when it does. For `/readyz`. */
-  reason(): NotReadyReason | undefined {
+  notReadyReason(): NotReadyReason | undefined {
     if (this.stopping) return 'stopping';
-    if (!this.configured) return 'no_configuration';
-    return this.reported ? undefined : 'no_reports';
+    if (!this.hasConfiguration) return 'no_configuration';
+    return this.hasPolledReplicas ? undefined : 'no_reports';
   }
 
   /** Why a query of `service` is not taken; undefined when it is. */
-  reasonFor(service: ServiceRuntime | undefined): NotReadyReason | undefined {
-    const reason = this.reason();
+  queryRefusalReason(service: ServiceRuntime | undefined): NotReadyReason | undefined {
+    const reason = this.notReadyReason();
     if (reason !== undefined && reason !== 'no_reports') return reason;
     const isRefusing = service?.settings.staleSettings === 'refuse';
     return isRefusing && !this.checkFreshness() ? 'stale_settings' : undefined;
@@ -63,8 +63,8 @@
   /** Whether the settings are fresh; logs every change. */
   checkFreshness(): boolean {
     const { fresh, committedRevision } = this.source.freshness();
-    if (fresh !== this.wasFresh) {
-      this.wasFresh = fresh;
+    if (fresh !== this.lastLoggedIsFresh) {
+      this.lastLoggedIsFresh = fresh;
       const message = fresh ? 'settings are fresh again' : 'settings are stale';
       this.logger.warn(message, { committedRevision });
     }
@@ -74,5 +74,5 @@
 
 /** The refusal for a reason. */
 export function notReadyError(reason: NotReadyReason): ReturnType<typeof refusedNotRun> {
-  return refusedNotRun(MESSAGES[reason], RETRY_AFTER_MS);
+  return refusedNotRun(REFUSAL_MESSAGES[reason], RETRY_AFTER_MS);
 }
--- a/src/router/service-directory.ts
+++ b/src/router/service-directory.ts
@@ -36,7 +36,7 @@
     const next = new Map<string, ServiceRuntime>();
     for (const definition of Object.values(state.services)) {
       const settings = effectiveSettings(state, definition.name, this.zone);
-      const policies = this.policiesFor(definition.name, settings);
+      const policies = this.reuseOrCreatePolicies(definition.name, settings);
       const { registry } = this;
       next.set(
         definition.name,
@@ -47,15 +47,15 @@
   }
 
   /** The policies in use when the settings are the same, since they have learned; else new ones. */
-  private policiesFor(service: string, settings: ServiceSettings): ServicePolicies {
-    const present = this.runtimes.get(service);
-    if (present !== undefined && sameSettings(present.settings, settings)) return present.policies;
+  private reuseOrCreatePolicies(service: string, settings: ServiceSettings): ServicePolicies {
+    const current = this.runtimes.get(service);
+    if (current !== undefined && settingsEqual(current.settings, settings)) return current.policies;
     const { clock, random } = this.environment;
     return createServicePolicies(settings, { clock, random });
   }
 }
 
-function sameSettings(left: ServiceSettings, right: ServiceSettings): boolean {
+function settingsEqual(left: ServiceSettings, right: ServiceSettings): boolean {
   return JSON.stringify(left) === JSON.stringify(right);
 }
 
--- a/src/router/shard-candidates.ts
+++ b/src/router/shard-candidates.ts
@@ -35,30 +35,30 @@
   preferred(): ReplicaRecord[] {
     const holders = this.holders();
     const untried = holders.filter((record) => !this.tried.has(record));
-    const sound = untried.filter((record) => this.isSound(record));
-    return [sound, untried, holders].find((group) => group.length > 0) ?? [];
+    const healthy = untried.filter((record) => this.isHealthy(record));
+    return [healthy, untried, holders].find((group) => group.length > 0) ?? [];
   }
 
   /** Siblings for a hedge: not tried, reporting, with a free connection. */
-  siblings(): ReplicaRecord[] {
+  hedgeCandidates(): ReplicaRecord[] {
     return this.holders().filter(
-      (record) => !this.tried.has(record) && this.isSound(record) && record.hasRoom,
+      (record) => !this.tried.has(record) && this.isHealthy(record) && record.hasRoom,
     );
   }
 
   /** Whether a replica that may get new work does not hold the snapshot, and so may hold another. */
-  get isSnapshotLacking(): boolean {
+  get hasReplicaWithoutSnapshot(): boolean {
     return this.shard.replicas.some(
       (record) => this.registry.mayReceive(record) && !record.holds(this.snapshot),
     );
   }
 
-  private isSound(record: ReplicaRecord): boolean {
+  private isHealthy(record: ReplicaRecord): boolean {
     return !record.isSuspect && !this.outliers.isEjected(record.process);
   }
 
   /** Why there is no holder. */
-  whyNone(): MissingReason {
+  missingReason(): MissingReason {
     const anyUsable = this.shard.replicas.some((record) => this.registry.mayReceive(record));
     return anyUsable ? 'snapshot_not_held' : 'no_replica';
   }
--- a/src/router/shard-execution.ts
+++ b/src/router/shard-execution.ts
@@ -11,7 +11,7 @@
 import { BackendAttempt } from './backend-attempt.js';
 import type { ShardView } from './layout-view.js';
 import type { QueryContext } from './query-context.js';
-import type { QueryTry } from './query-try.js';
+import type { ExecutionContext } from './execution-context.js';
 import type { RouterContext } from './router-context.js';
 import { ShardCandidates } from './shard-candidates.js';
 import type { ShardOutcome } from './shard-outcome.js';
@@ -32,34 +32,36 @@
   constructor(
     private readonly router: RouterContext,
     private readonly query: QueryContext,
-    private readonly queryTry: QueryTry,
+    private readonly execution: ExecutionContext,
     private readonly shard: ShardView,
   ) {
     this.candidates = new ShardCandidates(
       router.registry,
-      query.service.policies.outliers,
+      query.service.policies.outlierEjection,
       shard,
-      queryTry.plan.snapshotText,
+      execution.plan.snapshotText,
     );
   }
 
   /** Ends with the first verified answer, or when nothing more may be tried. Never throws. */
   async run(): Promise<ShardOutcome> {
-    let outcome = await this.tryOnce('primary');
+    let outcome = await this.attemptOnce('primary');
     while (outcome.kind === 'failed') {
       const { reason } = outcome;
       const delay = this.mayRetry() ? this.retryDelay(reason) : undefined;
       if (delay === undefined) return { kind: 'missing', reason };
-      await this.router.environment.clock.sleep(delay, this.queryTry.ended).catch(() => undefined);
-      if (this.queryTry.ended.aborted) return { kind: 'missing', reason };
-      outcome = await this.tryOnce('retry');
+      await this.router.environment.clock
+        .sleep(delay, this.execution.endSignal)
+        .catch(() => undefined);
+      if (this.execution.endSignal.aborted) return { kind: 'missing', reason };
+      outcome = await this.attemptOnce('retry');
     }
     return outcome;
   }
 
   /** Whether a replica of the shard could answer from another snapshot only. */
-  get isSnapshotLacking(): boolean {
-    return this.candidates.isSnapshotLacking;
+  get hasReplicaWithoutSnapshot(): boolean {
+    return this.candidates.hasReplicaWithoutSnapshot;
   }
 
   /** Cancels whatever is in flight. */
@@ -68,20 +70,20 @@
   }
 
   /** Launches at a replica with a free connection, waiting for one until the query ends. */
-  private async tryOnce(kind: AttemptKind): Promise<AttemptOutcome> {
+  private async attemptOnce(kind: AttemptKind): Promise<AttemptOutcome> {
     for (;;) {
       const preferred = this.candidates.preferred();
-      if (preferred.length === 0) return failedAttempt(this.candidates.whyNone(), false);
+      if (preferred.length === 0) return failedAttempt(this.candidates.missingReason(), false);
       // No await between the choice and the launch, so that two tasks never take one connection.
       const record = this.select(preferred.filter((each) => each.hasRoom));
       if (record !== undefined) return this.launchWithHedge(kind, record);
-      await waitForRoom(preferred, this.queryTry.ended);
-      if (this.queryTry.ended.aborted) return failedAttempt('not_waited_for', false);
+      await waitForRoom(preferred, this.execution.endSignal);
+      if (this.execution.endSignal.aborted) return failedAttempt('not_waited_for', false);
     }
   }
 
   private async launchWithHedge(kind: AttemptKind, record: ReplicaRecord): Promise<AttemptOutcome> {
-    if (kind === 'primary') this.earnBudgets();
+    if (kind === 'primary') this.recordPrimary();
     const first = this.launch(kind, record);
     const delay = this.hedgeDelay();
     if (delay === undefined) return first.outcome;
@@ -98,32 +100,32 @@
 
   private launch(kind: AttemptKind, record: ReplicaRecord): RunningAttempt {
     this.attempts += 1;
-    this.queryTry.tally.add(kind);
+    this.execution.tally.add(kind);
     this.candidates.markTried(record);
     const { metrics, faults } = this.router;
     metrics.attempts.inc({ service: this.query.service.definition.name, kind });
-    const pinned = this.queryTry.plan.snapshotText;
-    const snapshot = faults.mergeAcrossSnapshots ? newestHeld(record, pinned) : pinned;
+    const pinned = this.execution.plan.snapshotText;
+    const snapshot = faults.mergeAcrossSnapshots ? newestHeldSnapshot(record, pinned) : pinned;
     const target = { record, shardId: this.shard.shardId, snapshot };
     const controller = new AbortController();
     this.running.add(controller);
-    const attempt = new BackendAttempt(this.router, this.query, target, this.queryTry.replies);
+    const attempt = new BackendAttempt(this.router, this.query, target, this.execution.replyMemory);
     const outcome = attempt.run(controller.signal).then((result) => {
       this.running.delete(controller);
-      this.note(result);
+      this.recordOutcome(result);
       return result;
     });
     return { outcome, cancel: () => controller.abort() };
   }
 
-  private note(outcome: AttemptOutcome): void {
+  private recordOutcome(outcome: AttemptOutcome): void {
     if (outcome.kind === 'answered' || outcome.mayHaveRun) this.mayHaveRun = true;
   }
 
-  private earnBudgets(): void {
+  private recordPrimary(): void {
     const { hedge, retry } = this.query.service.policies;
-    hedge.recordPrimary(this.shard.shardId);
-    retry.recordPrimary();
+    hedge.recordFirstAttempt(this.shard.shardId);
+    retry.recordFirstAttempt();
   }
 
   private hedgeDelay(): number | undefined {
@@ -134,10 +136,10 @@
   }
 
   private launchHedge(): RunningAttempt | undefined {
-    if (this.queryTry.ended.aborted) return undefined;
-    const record = this.select(this.candidates.siblings());
+    if (this.execution.endSignal.aborted) return undefined;
+    const record = this.select(this.candidates.hedgeCandidates());
     if (record === undefined) return undefined;
-    if (!this.query.service.policies.hedge.takeBudget()) return undefined;
+    if (!this.query.service.policies.hedge.tryTakeBudget()) return undefined;
     return this.launch('hedge', record);
   }
 
@@ -171,7 +173,7 @@
 
   /** Whether anything but the retry policy stands against another attempt. */
   private mayRetry(): boolean {
-    if (this.queryTry.ended.aborted || this.candidates.holders().length === 0) return false;
+    if (this.execution.endSignal.aborted || this.candidates.holders().length === 0) return false;
     if (this.attempts >= this.query.service.settings.maximumAttemptsPerShard) return false;
     return this.treatAsRepeatable || !this.mayHaveRun;
   }
@@ -199,6 +201,6 @@
 }
 
 /** The last of the replica's snapshots, `otherwise` when it holds none. */
-function newestHeld(record: ReplicaRecord, otherwise: string): string {
-  return [...record.heldSnapshots()].at(-1) ?? otherwise;
+function newestHeldSnapshot(record: ReplicaRecord, fallback: string): string {
+  return [...record.heldSnapshots()].at(-1) ?? fallback;
 }
--- a/src/router/snapshot-planner.ts
+++ b/src/router/snapshot-planner.ts
@@ -28,8 +28,8 @@
 
 /** Least number of shards that makes `fraction` of `total`, proof against rounding of fractions. */
 export function requiredShardCount(fraction: number, total: number): number {
-  const ROUNDING = 1e-9;
-  return Math.max(1, Math.ceil(fraction * total - ROUNDING));
+  const ROUNDING_TOLERANCE = 1e-9;
+  return Math.max(1, Math.ceil(fraction * total - ROUNDING_TOLERANCE));
 }
 
 /** Plans for one service at one settings revision. */
@@ -51,12 +51,12 @@
 
   private choose(request: PlanRequest): QueryPlan | undefined {
     const candidates = this.candidates(request);
-    const enough = (plan: QueryPlan): number =>
+    const sufficientCount = (plan: QueryPlan): number =>
       requiredShardCount(request.requiredCoverage, plan.shards.length);
-    const every = (plan: QueryPlan): number => plan.shards.length;
-    for (const needed of [every, enough]) {
+    const fullCount = (plan: QueryPlan): number => plan.shards.length;
+    for (const needed of [fullCount, sufficientCount]) {
       for (const mayUse of [this.isReporting, this.isUsable]) {
-        const plan = candidates.find((each) => this.holders(each, mayUse) >= needed(each));
+        const plan = candidates.find((each) => this.countHeldShards(each, mayUse) >= needed(each));
         if (plan !== undefined) return plan;
       }
     }
@@ -69,7 +69,7 @@
     this.registry.mayReceive(record) && !record.isSuspect;
 
   /** Shards of which some usable replica holds the plan's snapshot. */
-  private holders(plan: QueryPlan, mayUse: (record: ReplicaRecord) => boolean): number {
+  private countHeldShards(plan: QueryPlan, mayUse: (record: ReplicaRecord) => boolean): number {
     const isHeld = (shard: ShardView): boolean =>
       shard.replicas.some((record) => record.holds(plan.snapshotText) && mayUse(record));
     return plan.shards.filter(isHeld).length;
@@ -79,7 +79,7 @@
   private candidates(request: PlanRequest): QueryPlan[] {
     const plans: QueryPlan[] = [];
     for (const layout of this.layouts) {
-      const shards = askedShards(layout, request.key);
+      const shards = selectShards(layout, request.key);
       for (const snapshot of heldSnapshots(layout, shards)) {
         const snapshotText = formatSnapshot(snapshot);
         if (!request.excluded.has(snapshotText)) plans.push({ snapshot, snapshotText, shards });
@@ -89,7 +89,7 @@
   }
 }
 
-function askedShards(layout: LayoutView, key: string | undefined): readonly ShardView[] {
+function selectShards(layout: LayoutView, key: string | undefined): readonly ShardView[] {
   if (key === undefined) return layout.shards;
   const index = shardIndexOfKey(key, layout.shards.length);
   return layout.shards.slice(index, index + 1);
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -88,7 +88,8 @@
   constructor(document: RouteDocument, previous?: RouteTable) {
     this.version = document.version;
     this.limits = document.limits;
-    this.tenants = document.tenants && TenantDirectory.of(document.tenants, previous?.tenants);
+    this.tenants =
+      document.tenants && TenantDirectory.createOrReuse(document.tenants, previous?.tenants);
     this.needsKeys = this.tenants !== undefined && document.routes.some((route) => !route.public);
     this.shardListsByKey = deduplicateShardLists(
       document.routes,
--- a/src/tenants/allowance-table.ts
+++ b/src/tenants/allowance-table.ts
@@ -1,18 +1,18 @@
 /** What a gateway knows of the tenants that were used lately; bounded by those in use. */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
-import { boundsOf } from './quota-bounds.js';
+import { computeQuotaBounds } from './quota-bounds.js';
 import { TenantAllowance } from './tenant-allowance.js';
 import type { Tenant } from './tenant.js';
 
 /** How often idle tenants are looked for, in windows. */
-const FORGET_WINDOWS = 4;
+const EVICTION_INTERVAL_WINDOWS = 4;
 /** For how long after its last request a tenant is remembered, in windows. */
-const REMEMBERED_WINDOWS = 2;
+const RETENTION_WINDOWS = 2;
 
 /** See the module comment. */
 export class AllowanceTable {
   private readonly allowances = new Map<string, TenantAllowance>();
-  private lastForgottenAt = -Infinity;
+  private lastEvictionAt = -Infinity;
 
   constructor(private readonly settings: QuotaSettings) {}
 
@@ -22,11 +22,11 @@
   }
 
   /** By the tenant's limit in the route document that the request goes by. */
-  of(tenant: Tenant, now: number): TenantAllowance {
-    this.forgetIdle(now);
+  getOrCreate(tenant: Tenant, now: number): TenantAllowance {
+    this.evictIdle(now);
     const known = this.allowances.get(tenant.name);
     if (known?.tenant === tenant) return known;
-    const bounds = boundsOf(tenant, this.settings);
+    const bounds = computeQuotaBounds(tenant, this.settings);
     if (known === undefined) return this.add(new TenantAllowance(tenant, bounds));
     known.tenant = tenant;
     known.bounds = bounds;
@@ -38,12 +38,12 @@
     return allowance;
   }
 
-  private forgetIdle(now: number): void {
+  private evictIdle(now: number): void {
     const { windowMs } = this.settings;
-    if (now - this.lastForgottenAt < windowMs * FORGET_WINDOWS) return;
-    this.lastForgottenAt = now;
+    if (now - this.lastEvictionAt < windowMs * EVICTION_INTERVAL_WINDOWS) return;
+    this.lastEvictionAt = now;
     for (const [name, allowance] of this.allowances) {
-      if (allowance.isIdle(now, windowMs * REMEMBERED_WINDOWS)) this.allowances.delete(name);
+      if (allowance.isIdle(now, windowMs * RETENTION_WINDOWS)) this.allowances.delete(name);
     }
   }
 }
--- a/src/tenants/fleet-size.ts
+++ b/src/tenants/fleet-size.ts
@@ -5,29 +5,29 @@
  */
 
 /** So long controllers take to have heard of all gateways of a fleet that starts. Milliseconds. */
-const SETTLING_MS = 15_000;
+const DISCOVERY_MS = 15_000;
 /** A smaller number counts only after it has held so long. Milliseconds. */
-const SHRINKING_MS = 60_000;
+const SHRINK_DELAY_MS = 60_000;
 
 /** See the module comment. Times are clock readings. Milliseconds. */
 export class FleetSize {
   private size: number | undefined;
-  private seenAt = -Infinity;
+  private updatedAt = -Infinity;
 
   constructor(private readonly startedAt: number) {}
 
   /** What controllers say while there is an owner: a half without one does not see the other. */
-  note(gateways: number | undefined, now: number): void {
+  update(gateways: number | undefined, now: number): void {
     if (gateways === undefined) return;
-    const isLess = this.size !== undefined && gateways < this.size;
-    if (isLess && now - this.seenAt < SHRINKING_MS) return;
+    const isSmaller = this.size !== undefined && gateways < this.size;
+    if (isSmaller && now - this.updatedAt < SHRINK_DELAY_MS) return;
     this.size = Math.max(1, gateways);
-    this.seenAt = now;
+    this.updatedAt = now;
   }
 
   /** Infinity while it is not known. */
-  read(now: number): number {
-    const isSettled = now - this.startedAt >= SETTLING_MS;
-    return isSettled && this.size !== undefined ? this.size : Infinity;
+  estimate(now: number): number {
+    const isDiscoveryComplete = now - this.startedAt >= DISCOVERY_MS;
+    return isDiscoveryComplete && this.size !== undefined ? this.size : Infinity;
   }
 }
--- a/src/tenants/gateway-quota.ts
+++ b/src/tenants/gateway-quota.ts
@@ -39,13 +39,13 @@
       random: environment.random,
       settings,
       countGateways,
-      onWanted: () => this.link?.notify(),
+      onRequestQueued: () => this.link?.notify(),
       onDecision: (result) => this.metrics.decisions.inc({ result }),
     });
   }
 
   /** The tenants of the route document in force. */
-  useTenants(directory: TenantDirectory | undefined): void {
+  connectIfLimited(directory: TenantDirectory | undefined): void {
     if (this.link !== undefined || this.isStopped || directory === undefined) return;
     if (![...directory.tenants].some(isLimited)) return;
     const { environment, identity, telemetry, controllers } = this.options;
--- a/src/tenants/quota-bounds.ts
+++ b/src/tenants/quota-bounds.ts
@@ -16,53 +16,56 @@
 import type { Tenant } from './tenant.js';
 
 /** Parts of the tolerance. */
-const CAPACITY_PART = 0.1;
-const SETTLING_PART = 0.16;
-const BEGINNING_PART = 0.05;
-const UNCONFIRMED_PART = 0.64;
+const CAPACITY_FRACTION = 0.1;
+const SETTLING_FRACTION = 0.16;
+const INITIAL_TOKENS_FRACTION = 0.05;
+const UNCONFIRMED_FRACTION = 0.64;
 /** With two changes of owner. */
-const OWNERS_IN_A_WINDOW = 3;
+const OWNERS_PER_WINDOW = 3;
 /** Longer grants would gain nothing: demand is not known so far ahead. Milliseconds. */
-const LONGEST_LIFETIME_MS = 1_000;
+const MAXIMUM_TOKEN_LIFETIME_MS = 1_000;
 /** Without a tolerance grants still need the time of a message each way. Milliseconds. */
-const SHORTEST_LIFETIME_MS = 50;
+const MINIMUM_TOKEN_LIFETIME_MS = 50;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** What follows from a tenant's limit. Numbers are requests if they have no unit. */
 export interface QuotaBounds {
   /** Of a window, without the tolerance. */
-  readonly limit: number;
+  readonly windowLimit: number;
   /** Tokens a millisecond. */
   readonly ratePerMs: number;
   /** Most tokens that its bucket holds; at least 1. */
   readonly capacity: number;
   /** What the bucket of a new owner begins with. */
-  readonly beginning: number;
+  readonly initialTokens: number;
   /** From the question on, a granted token may be used. Milliseconds. */
-  readonly lifetimeMs: number;
+  readonly tokenLifetimeMs: number;
   /** After its use or its end, a token may be given back, and as long be waiting for that. Milliseconds. */
-  readonly returnMs: number;
+  readonly returnTimeoutMs: number;
   /** Uses that no owner has confirmed, all gateways together, under one owner of a window. */
-  readonly unconfirmed: number;
+  readonly maximumUnconfirmed: number;
 }
 
 /** For a tenant that is limited. */
-export function boundsOf(
+export function computeQuotaBounds(
   { requestsPerSecond, burst }: Pick<Tenant, 'requestsPerSecond' | 'burst'>,
   { windowMs, overrun, slack }: QuotaSettings,
 ): QuotaBounds {
   const ratePerMs = requestsPerSecond / MILLISECONDS_PER_SECOND;
-  const limit = ratePerMs * windowMs + burst;
-  const tolerance = limit * overrun + slack;
-  const settlingMs = (tolerance * SETTLING_PART) / 2 / ratePerMs;
-  const lifetimeMs = Math.min(LONGEST_LIFETIME_MS, Math.max(SHORTEST_LIFETIME_MS, settlingMs));
+  const windowLimit = ratePerMs * windowMs + burst;
+  const tolerance = windowLimit * overrun + slack;
+  const settlingMs = (tolerance * SETTLING_FRACTION) / 2 / ratePerMs;
+  const tokenLifetimeMs = Math.min(
+    MAXIMUM_TOKEN_LIFETIME_MS,
+    Math.max(MINIMUM_TOKEN_LIFETIME_MS, settlingMs),
+  );
   return {
-    limit,
+    windowLimit: windowLimit,
     ratePerMs,
-    capacity: Math.max(1, burst + tolerance * CAPACITY_PART),
-    beginning: tolerance * BEGINNING_PART,
-    lifetimeMs,
-    returnMs: lifetimeMs / 2,
-    unconfirmed: (tolerance * UNCONFIRMED_PART) / OWNERS_IN_A_WINDOW,
+    capacity: Math.max(1, burst + tolerance * CAPACITY_FRACTION),
+    initialTokens: tolerance * INITIAL_TOKENS_FRACTION,
+    tokenLifetimeMs: tokenLifetimeMs,
+    returnTimeoutMs: tokenLifetimeMs / 2,
+    maximumUnconfirmed: (tolerance * UNCONFIRMED_FRACTION) / OWNERS_PER_WINDOW,
   };
 }
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -13,10 +13,10 @@
 import type { Clock } from '../seams/clock.js';
 import type { RandomSource } from '../seams/random-source.js';
 import { AllowanceTable } from './allowance-table.js';
-import type { QuotaAnswerMessage, QuotaAskMessage } from './quota-messages.js';
-import { QuotaPath } from './quota-path.js';
-import { LONGEST_RETURN_WINDOWS } from './return-schedule.js';
-import type { OpenQuestion, TenantAllowance, WaitingRequest } from './tenant-allowance.js';
+import type { TokenResponseMessage, TokenRequestMessage } from './quota-messages.js';
+import { QuotaDecisionPath } from './quota-decision-path.js';
+import { MAXIMUM_RETRY_AFTER_WINDOWS } from './retry-after-schedule.js';
+import type { PendingTokenRequest, TenantAllowance, WaitingRequest } from './tenant-allowance.js';
 import { ADMITTED, type QuotaDecision, type TenantQuota } from './tenant-quota.js';
 import { isLimited, type Tenant } from './tenant.js';
 import { UnconfirmedUses } from './unconfirmed-uses.js';
@@ -25,13 +25,13 @@
  * Longest wait for an owner: the controllers elect another one in that time. An owner that is
  * away for longer is not waited for. Milliseconds.
  */
-export const LONGEST_WAIT_MS = 2_000;
+export const MAXIMUM_WAIT_MS = 2_000;
 /** Where it is not known when a token is due: with an owner that may be found soon. Milliseconds. */
-const UNKNOWN_RETRY_MS = 1_000;
+const OWNERLESS_RETRY_AFTER_MS = 1_000;
 /** Part of a grant's lifetime for which tokens are asked for ahead. */
-const AHEAD_PART = 0.5;
+const PREFETCH_FRACTION = 0.5;
 /** Most tenants of one frame, which keeps it far below the longest frame. */
-const ASKS_PER_FRAME = 1_000;
+const MAXIMUM_TENANTS_PER_FRAME = 1_000;
 
 /** What a client goes by. */
 export interface QuotaClientOptions {
@@ -41,19 +41,19 @@
   /** Gateways of the fleet, also those that are cut off; undefined while no controller has said it. */
   readonly countGateways: () => number | undefined;
   /** There is something to ask. */
-  readonly onWanted: () => void;
-  readonly onDecision: (path: QuotaPath) => void;
+  readonly onRequestQueued: () => void;
+  readonly onDecision: (path: QuotaDecisionPath) => void;
 }
 
 /** See the module comment. */
 export class QuotaClient implements TenantQuota {
   private readonly allowances: AllowanceTable;
   private readonly unconfirmed: UnconfirmedUses;
-  private readonly wanted = new Set<TenantAllowance>();
+  private readonly queued = new Set<TenantAllowance>();
   /** With a question that is not answered yet. */
-  private readonly open = new Set<TenantAllowance>();
+  private readonly pending = new Set<TenantAllowance>();
   private isConnected = false;
-  private withoutOwnerSince: number;
+  private ownerlessSince: number;
 
   constructor(private readonly options: QuotaClientOptions) {
     const { clock, settings } = options;
@@ -61,150 +61,150 @@
     const startedAt = clock.now();
     const { windowMs } = settings;
     this.unconfirmed = new UnconfirmedUses({ random: options.random, windowMs, startedAt });
-    this.withoutOwnerSince = startedAt;
+    this.ownerlessSince = startedAt;
   }
 
   take(tenant: Tenant, until = Infinity): QuotaDecision | Promise<QuotaDecision> {
     if (!isLimited(tenant)) return ADMITTED;
     const now = this.options.clock.now();
-    const allowance = this.allowances.of(tenant, now);
-    allowance.demand.note(now);
+    const allowance = this.allowances.getOrCreate(tenant, now);
+    allowance.demand.record(now);
     allowance.lastUsedAt = now;
-    if (allowance.useToken(now)) return this.admit(QuotaPath.Granted);
-    if (allowance.returns.isTokenAway(now)) {
+    if (allowance.useToken(now)) return this.admit(QuotaDecisionPath.Granted);
+    if (allowance.retrySchedule.isTokenUnavailable(now)) {
       allowance.refused += 1;
       return this.refuse(allowance, now);
     }
     if (!this.isConnected) return this.takeWithoutOwner(allowance, now, until);
     if (this.unconfirmed.takeWithOwner(allowance, now)) {
-      return this.passUnconfirmed(allowance, QuotaPath.Unconfirmed);
+      return this.admitUnconfirmed(allowance, QuotaDecisionPath.Unconfirmed);
     }
-    return this.wait(allowance, now, until);
+    return this.waitForToken(allowance, now, until);
   }
 
-  giveBack(tenant: Tenant, takenAt: number): void {
+  returnToken(tenant: Tenant, takenAt: number): void {
     const allowance = this.allowances.find(tenant.name);
     if (allowance === undefined || !isLimited(tenant)) return;
     const now = this.options.clock.now();
     // What is returned later could be used besides what the bucket has gained meanwhile.
-    if (now - takenAt > allowance.bounds.returnMs) return;
-    allowance.noteReturned(1, now);
-    this.want(allowance);
+    if (now - takenAt > allowance.bounds.returnTimeoutMs) return;
+    allowance.recordReturned(1, now);
+    this.enqueue(allowance);
   }
 
   /** The connection to the owner is open: it answers questions. */
-  connected(): void {
+  handleConnected(): void {
     this.isConnected = true;
-    this.noteGateways();
+    this.updateFleetSize();
   }
 
   /** The owner is lost: what it was asked may have been granted, which is then not used. */
-  lost(): void {
-    if (this.isConnected) this.withoutOwnerSince = this.options.clock.now();
+  handleDisconnected(): void {
+    if (this.isConnected) this.ownerlessSince = this.options.clock.now();
     this.isConnected = false;
     this.endRound();
   }
 
   /** All answers to what was asked have come: questions without one are asked again. */
   endRound(): void {
-    if (this.isConnected) this.noteGateways();
-    for (const allowance of this.open) this.reopen(allowance);
-    this.open.clear();
+    if (this.isConnected) this.updateFleetSize();
+    for (const allowance of this.pending) this.requeue(allowance);
+    this.pending.clear();
   }
 
   /** What to ask the owner now; each tenant has one open question at most. */
-  takeAsks(): QuotaAskMessage[] {
-    const asks: QuotaAskMessage[] = [];
-    for (const allowance of this.wanted) {
-      if (asks.length >= ASKS_PER_FRAME) break;
-      if (allowance.question !== undefined) continue;
-      this.wanted.delete(allowance);
-      if (!this.hasWants(allowance)) continue;
-      this.open.add(allowance);
-      asks.push(this.ask(allowance));
+  takeRequests(): TokenRequestMessage[] {
+    const requests: TokenRequestMessage[] = [];
+    for (const allowance of this.queued) {
+      if (requests.length >= MAXIMUM_TENANTS_PER_FRAME) break;
+      if (allowance.pendingRequest !== undefined) continue;
+      this.queued.delete(allowance);
+      if (!this.needsRequest(allowance)) continue;
+      this.pending.add(allowance);
+      requests.push(this.createRequest(allowance));
     }
-    return asks;
+    return requests;
   }
 
   /** The owner's answer to a question. One to no question is of no use, and is dropped. */
-  takeAnswer(answer: QuotaAnswerMessage): void {
-    const allowance = this.allowances.find(answer.tenant);
-    if (allowance?.question === undefined) return;
-    const { question } = allowance;
+  handleResponse(response: TokenResponseMessage): void {
+    const allowance = this.allowances.find(response.tenant);
+    if (allowance?.pendingRequest === undefined) return;
+    const { pendingRequest: pendingRequest } = allowance;
     const now = this.options.clock.now();
-    allowance.question = undefined;
-    this.open.delete(allowance);
-    allowance.unconfirmed -= question.spent;
-    allowance.pressureUntil = now + answer.pressureMs;
-    const isUsable = now <= question.askedAt + allowance.bounds.lifetimeMs;
-    if (isUsable) this.useGrant(allowance, question, answer, now);
-    else this.dropGrant(allowance, question, answer, now);
-    if (this.hasWants(allowance)) this.want(allowance);
+    allowance.pendingRequest = undefined;
+    this.pending.delete(allowance);
+    allowance.unconfirmed -= pendingRequest.spent;
+    allowance.pressureUntil = now + response.pressureMs;
+    const isUsable = now <= pendingRequest.requestedAt + allowance.bounds.tokenLifetimeMs;
+    if (isUsable) this.applyGrant(allowance, pendingRequest, response, now);
+    else this.discardGrant(allowance, pendingRequest, response, now);
+    if (this.needsRequest(allowance)) this.enqueue(allowance);
   }
 
   /** Ends the wait of requests whose time is over before the next call; called while {@link hasWaiting}. */
-  expire(nextCallMs: number): void {
+  expireWaiting(nextCallMs: number): void {
     const nextCallAt = this.options.clock.now() + nextCallMs;
-    for (const allowance of this.wanted) {
-      allowance.waiting = this.refuseOver(allowance, allowance.waiting, nextCallAt);
+    for (const allowance of this.queued) {
+      allowance.waiting = this.refuseExpired(allowance, allowance.waiting, nextCallAt);
     }
-    for (const allowance of this.open) {
-      const { question } = allowance;
-      if (question === undefined) continue;
-      question.waiting = this.refuseOver(allowance, question.waiting, nextCallAt);
+    for (const allowance of this.pending) {
+      const { pendingRequest: pendingRequest } = allowance;
+      if (pendingRequest === undefined) continue;
+      pendingRequest.waiting = this.refuseExpired(allowance, pendingRequest.waiting, nextCallAt);
     }
   }
 
   /** Whether there is something to ask. */
-  get hasAsks(): boolean {
-    return this.wanted.size > 0;
+  get hasRequests(): boolean {
+    return this.queued.size > 0;
   }
 
   /** Whether requests wait for an answer or an owner. */
   get hasWaiting(): boolean {
-    for (const { waiting } of this.wanted) if (waiting.length > 0) return true;
-    return this.open.size > 0;
+    for (const { waiting } of this.queued) if (waiting.length > 0) return true;
+    return this.pending.size > 0;
   }
 
-  private noteGateways(): void {
+  private updateFleetSize(): void {
     const { clock, countGateways } = this.options;
-    this.unconfirmed.fleet.note(countGateways(), clock.now());
+    this.unconfirmed.fleetSize.update(countGateways(), clock.now());
   }
 
-  private admit(path: QuotaPath): QuotaDecision {
+  private admit(path: QuotaDecisionPath): QuotaDecision {
     this.options.onDecision(path);
     return ADMITTED;
   }
 
   /** Behind those that were told to come back before, each at a time of its own. */
   private refuse(allowance: TenantAllowance, now: number): QuotaDecision {
-    this.options.onDecision(QuotaPath.Refused);
-    const horizonMs = this.options.settings.windowMs * LONGEST_RETURN_WINDOWS;
-    return { isAdmitted: false, retryAfterMs: allowance.returns.next(horizonMs, now) };
+    this.options.onDecision(QuotaDecisionPath.Refused);
+    const horizonMs = this.options.settings.windowMs * MAXIMUM_RETRY_AFTER_WINDOWS;
+    return { isAdmitted: false, retryAfterMs: allowance.retrySchedule.reserve(horizonMs, now) };
   }
 
   private refuseWithoutOwner(allowance: TenantAllowance): QuotaDecision {
     allowance.refusedWithoutOwner += 1;
-    this.options.onDecision(QuotaPath.RefusedWithoutOwner);
+    this.options.onDecision(QuotaDecisionPath.RefusedWithoutOwner);
     const spread = 0.5 + this.options.random.nextFloat();
-    return { isAdmitted: false, retryAfterMs: UNKNOWN_RETRY_MS * spread };
+    return { isAdmitted: false, retryAfterMs: OWNERLESS_RETRY_AFTER_MS * spread };
   }
 
-  private passUnconfirmed(allowance: TenantAllowance, path: QuotaPath): QuotaDecision {
+  private admitUnconfirmed(allowance: TenantAllowance, path: QuotaDecisionPath): QuotaDecision {
     allowance.spent += 1;
     allowance.unconfirmed += 1;
-    this.want(allowance);
+    this.enqueue(allowance);
     return this.admit(path);
   }
 
   /** Refuses those whose time is over at `by`, and gives back the others. */
-  private refuseOver(
+  private refuseExpired(
     allowance: TenantAllowance,
     waiting: readonly WaitingRequest[],
     by: number,
   ): WaitingRequest[] {
-    const over = waiting.filter(({ deadline }) => deadline <= by);
-    for (const { decide } of over) decide(this.refuseWithoutOwner(allowance));
+    const expired = waiting.filter(({ deadline }) => deadline <= by);
+    for (const { decide } of expired) decide(this.refuseWithoutOwner(allowance));
     return waiting.filter(({ deadline }) => deadline > by);
   }
 
@@ -214,40 +214,46 @@
     until: number,
   ): QuotaDecision | Promise<QuotaDecision> {
     if (this.unconfirmed.takeWithoutOwner(allowance, now)) {
-      return this.passUnconfirmed(allowance, QuotaPath.WithoutOwner);
+      return this.admitUnconfirmed(allowance, QuotaDecisionPath.WithoutOwner);
     }
-    const isAwaited = now - this.withoutOwnerSince < LONGEST_WAIT_MS;
-    return isAwaited ? this.wait(allowance, now, until) : this.refuseWithoutOwner(allowance);
+    const isWaitAllowed = now - this.ownerlessSince < MAXIMUM_WAIT_MS;
+    return isWaitAllowed
+      ? this.waitForToken(allowance, now, until)
+      : this.refuseWithoutOwner(allowance);
   }
 
-  private wait(allowance: TenantAllowance, now: number, until: number): Promise<QuotaDecision> {
+  private waitForToken(
+    allowance: TenantAllowance,
+    now: number,
+    until: number,
+  ): Promise<QuotaDecision> {
     return new Promise((decide) => {
-      const deadline = Math.min(now + LONGEST_WAIT_MS, until);
+      const deadline = Math.min(now + MAXIMUM_WAIT_MS, until);
       allowance.waiting.push({ decide, deadline });
-      this.want(allowance);
+      this.enqueue(allowance);
     });
   }
 
-  private want(allowance: TenantAllowance): void {
-    this.wanted.add(allowance);
-    this.options.onWanted();
+  private enqueue(allowance: TenantAllowance): void {
+    this.queued.add(allowance);
+    this.options.onRequestQueued();
   }
 
-  private hasWants({ waiting, spent, hasReturned }: TenantAllowance): boolean {
+  private needsRequest({ waiting, spent, hasReturned }: TenantAllowance): boolean {
     return waiting.length > 0 || spent > 0 || hasReturned;
   }
 
-  private ask(allowance: TenantAllowance): QuotaAskMessage {
+  private createRequest(allowance: TenantAllowance): TokenRequestMessage {
     const now = this.options.clock.now();
-    allowance.dropStale(now);
+    allowance.discardExpiredTokens(now);
     const returned = allowance.takeReturned(now);
     const { spent, waiting, demand, bounds, tokens, refused, refusedWithoutOwner } = allowance;
-    allowance.question = { askedAt: now, spent, waiting };
+    allowance.pendingRequest = { requestedAt: now, spent, waiting };
     allowance.spent = 0;
     allowance.refused = 0;
     allowance.refusedWithoutOwner = 0;
     allowance.waiting = [];
-    const expected = Math.floor(demand.read(now) * bounds.lifetimeMs * AHEAD_PART);
+    const expected = Math.floor(demand.perMs(now) * bounds.tokenLifetimeMs * PREFETCH_FRACTION);
     const ahead = Math.max(0, expected - tokens);
     return {
       kind: 'ask',
@@ -261,44 +267,44 @@
     };
   }
 
-  private useGrant(
+  private applyGrant(
     allowance: TenantAllowance,
-    { askedAt, waiting }: OpenQuestion,
-    answer: QuotaAnswerMessage,
+    { requestedAt: askedAt, waiting }: PendingTokenRequest,
+    response: TokenResponseMessage,
     now: number,
   ): void {
-    const { granted } = answer;
+    const { granted } = response;
     const admitted = waiting.slice(0, granted);
-    for (const { decide } of admitted) decide(this.admit(QuotaPath.Asked));
-    allowance.hold(granted - admitted.length, askedAt + allowance.bounds.lifetimeMs);
+    for (const { decide } of admitted) decide(this.admit(QuotaDecisionPath.Asked));
+    allowance.addTokens(granted - admitted.length, askedAt + allowance.bounds.tokenLifetimeMs);
     const refused = waiting.slice(granted);
     if (refused.length === 0) return;
-    allowance.returns.use(answer, now);
+    allowance.retrySchedule.update(response, now);
     for (const { decide } of refused) decide(this.refuse(allowance, now));
   }
 
   /** The answer took longer than its tokens are valid: those that wait are asked for again. */
-  private dropGrant(
+  private discardGrant(
     allowance: TenantAllowance,
-    { askedAt, waiting }: OpenQuestion,
-    { granted }: QuotaAnswerMessage,
+    { requestedAt: askedAt, waiting }: PendingTokenRequest,
+    { granted }: TokenResponseMessage,
     now: number,
   ): void {
-    const { lifetimeMs, returnMs } = allowance.bounds;
-    if (now <= askedAt + lifetimeMs + returnMs) allowance.noteReturned(granted, now);
-    this.putBack(allowance, waiting);
+    const { tokenLifetimeMs: lifetimeMs, returnTimeoutMs: returnMs } = allowance.bounds;
+    if (now <= askedAt + lifetimeMs + returnMs) allowance.recordReturned(granted, now);
+    this.requeueWaiting(allowance, waiting);
   }
 
-  private reopen(allowance: TenantAllowance): void {
-    const { question } = allowance;
-    if (question === undefined) return;
-    allowance.question = undefined;
-    allowance.spent += question.spent;
-    this.putBack(allowance, question.waiting);
-    this.want(allowance);
+  private requeue(allowance: TenantAllowance): void {
+    const { pendingRequest: pendingRequest } = allowance;
+    if (pendingRequest === undefined) return;
+    allowance.pendingRequest = undefined;
+    allowance.spent += pendingRequest.spent;
+    this.requeueWaiting(allowance, pendingRequest.waiting);
+    this.enqueue(allowance);
   }
 
-  private putBack(allowance: TenantAllowance, waiting: readonly WaitingRequest[]): void {
+  private requeueWaiting(allowance: TenantAllowance, waiting: readonly WaitingRequest[]): void {
     allowance.waiting = [...waiting, ...allowance.waiting];
   }
 }
--- a/src/tenants/quota-path.ts
+++ b/src/tenants/quota-decision-path.ts
@@ -1,5 +1,5 @@
 /** How a request of a tenant with a limit was decided at a gateway. */
-export enum QuotaPath {
+export enum QuotaDecisionPath {
   /** By a token that was held. */
   Granted = 'granted',
   /** Without a token; the owner is told. */
--- a/src/tenants/quota-messages.ts
+++ b/src/tenants/quota-messages.ts
@@ -12,7 +12,7 @@
 }
 
 /** Gateway to owner: what it has used and needs of a tenant. Numbers are requests. */
-export interface QuotaAskMessage {
+export interface TokenRequestMessage {
   readonly kind: 'ask';
   readonly tenant: string;
   /** Passed on without a token. */
@@ -29,13 +29,13 @@
 }
 
 /** Owner to gateway, first in each frame: answers the round. */
-export interface QuotaAnsweredMessage {
+export interface QuotaRoundResponseMessage {
   readonly kind: 'answered';
   readonly round: number;
 }
 
 /** Owner to gateway: answers one question. */
-export interface QuotaAnswerMessage {
+export interface TokenResponseMessage {
   readonly kind: 'answer';
   readonly tenant: string;
   /** Tokens. */
@@ -59,9 +59,9 @@
 /** All messages between a gateway and the owner. */
 export type QuotaMessage =
   | QuotaRoundMessage
-  | QuotaAskMessage
-  | QuotaAnsweredMessage
-  | QuotaAnswerMessage
+  | TokenRequestMessage
+  | QuotaRoundResponseMessage
+  | TokenResponseMessage
   | QuotaRedirectMessage;
 
 /** Encodes and decodes them. */
--- a/src/tenants/quota-metrics.ts
+++ b/src/tenants/quota-metrics.ts
@@ -1,6 +1,6 @@
 /** Counters and gauges of tenants' limits; no label names a tenant, so their number is bounded. */
 import { Counter, Gauge, type Registry } from 'prom-client';
-import { QuotaPath } from './quota-path.js';
+import { QuotaDecisionPath } from './quota-decision-path.js';
 
 /** At a gateway. */
 export class QuotaClientMetrics {
@@ -16,7 +16,7 @@
       labelNames: ['result'],
       registers,
     });
-    for (const result of Object.values(QuotaPath)) this.decisions.inc({ result }, 0);
+    for (const result of Object.values(QuotaDecisionPath)) this.decisions.inc({ result }, 0);
     this.frames = new Counter({
       name: 'driftway_gateway_quota_frames_total',
       help: 'Frames that were sent to the owner of the limits.',
@@ -48,7 +48,7 @@
 export class QuotaServerMetrics {
   readonly frames: Counter;
   readonly bytes: Counter;
-  readonly answers: Counter<'result'>;
+  readonly requests: Counter<'result'>;
 
   constructor(registry: Registry, readings: QuotaReadings) {
     const registers = [registry];
@@ -62,7 +62,7 @@
       help: 'Bytes of those frames and of the answers to them.',
       registers,
     });
-    this.answers = new Counter({
+    this.requests = new Counter({
       name: 'driftway_controller_quota_requests_total',
       help: 'Requests that gateways asked tokens for, by the answer.',
       labelNames: ['result'],
--- a/src/tenants/quota-owner.ts
+++ b/src/tenants/quota-owner.ts
@@ -10,30 +10,30 @@
  */
 import type { QuotaSettings } from '../configuration/tenant-settings.js';
 import type { Clock } from '../seams/clock.js';
-import { boundsOf } from './quota-bounds.js';
-import type { QuotaAnswerMessage, QuotaAskMessage } from './quota-messages.js';
-import { LONGEST_RETURN_WINDOWS, type ToldReturns } from './return-schedule.js';
-import { NOTHING_USED, TenantUsage, type UsageCounts } from './tenant-usage.js';
+import { computeQuotaBounds } from './quota-bounds.js';
+import type { TokenResponseMessage, TokenRequestMessage } from './quota-messages.js';
+import { MAXIMUM_RETRY_AFTER_WINDOWS, type RetryAfterTimes } from './retry-after-schedule.js';
+import { NO_USAGE, TenantUsage, type UsageCounts } from './tenant-usage.js';
 import { isLimited, type Tenant } from './tenant.js';
 import { TokenBucket } from './token-bucket.js';
 
 /** Share of the capacity below which a tenant's requests need a token before they are passed on. */
-const PRESSURE_PART = 0.5;
+const PRESSURE_FRACTION = 0.5;
 /** A tenant that the route document here does not name is asked for again later. Milliseconds. */
 const UNKNOWN_TENANT_RETRY_MS = 500;
 /** How often buckets that are full again are looked for, in windows. */
-const FORGET_WINDOWS = 4;
+const EVICTION_INTERVAL_WINDOWS = 4;
 /** Where no request was refused. */
-const NO_RETURNS: ToldReturns = { nextTokenMs: 0, retryAfterMs: 0, retrySpacingMs: 0 };
+const NO_RETRY_AFTER: RetryAfterTimes = { nextTokenMs: 0, retryAfterMs: 0, retrySpacingMs: 0 };
 
 /** What an owner goes by. */
 export interface QuotaOwnerOptions {
   readonly clock: Clock;
   readonly settings: QuotaSettings;
   /** The tenant by the route document in force here. */
-  readonly tenant: (name: string) => Tenant | undefined;
+  readonly findTenant: (name: string) => Tenant | undefined;
   /** A tenant has reached its limit. */
-  readonly onLimit: (tenant: Tenant) => void;
+  readonly onLimitReached: (tenant: Tenant) => void;
 }
 
 /** A tenant that has asked, and what it may use and has used. */
@@ -46,96 +46,97 @@
 /** See the module comment. */
 export class QuotaOwner {
   private readonly accounts = new Map<string, Account>();
-  private since: number;
-  private lastForgottenAt: number;
+  private ownedSince: number;
+  private lastEvictionAt: number;
 
   constructor(private readonly options: QuotaOwnerOptions) {
-    this.since = options.clock.now();
-    this.lastForgottenAt = this.since;
+    this.ownedSince = options.clock.now();
+    this.lastEvictionAt = this.ownedSince;
   }
 
   /** Tenants of which something is remembered. */
-  get size(): number {
+  get tenantCount(): number {
     return this.accounts.size;
   }
 
   /** Owns the tokens from now on: what was known is of another ownership. */
-  begin(): void {
+  startOwnership(): void {
     this.accounts.clear();
-    this.since = this.options.clock.now();
+    this.ownedSince = this.options.clock.now();
   }
 
   /** What was admitted and refused of a tenant in the last window. */
   usageOf(name: string): UsageCounts {
-    return this.accounts.get(name)?.usage.read(this.options.clock.now()) ?? NOTHING_USED;
+    return this.accounts.get(name)?.usage.read(this.options.clock.now()) ?? NO_USAGE;
   }
 
   /** Answers one question of a gateway, and notes the uses that it tells of. */
-  answer(ask: QuotaAskMessage): QuotaAnswerMessage {
-    this.forgetIdle();
-    const tenant = this.options.tenant(ask.tenant);
-    if (tenant === undefined) return this.answerUnknown(ask);
-    if (!isLimited(tenant)) return this.grantAll(ask);
-    return this.answerLimited(ask, this.accountOf(tenant));
+  handleRequest(request: TokenRequestMessage): TokenResponseMessage {
+    this.evictIdle();
+    const tenant = this.options.findTenant(request.tenant);
+    if (tenant === undefined) return this.refuseUnknown(request);
+    if (!isLimited(tenant)) return this.grantAll(request);
+    return this.handleLimited(request, this.getOrCreateAccount(tenant));
   }
 
-  private answerLimited(
-    ask: QuotaAskMessage,
+  private handleLimited(
+    request: TokenRequestMessage,
     { tenant, bucket, usage }: Account,
-  ): QuotaAnswerMessage {
+  ): TokenResponseMessage {
     const now = this.options.clock.now();
-    bucket.giveBack(ask.returned, now);
-    bucket.charge(ask.spent, now);
-    const forWaiting = bucket.take(ask.waiting, 0, now);
-    const reserve = bucket.bounds.capacity * PRESSURE_PART;
-    const ahead = forWaiting < ask.waiting ? 0 : bucket.take(ask.ahead, reserve, now);
-    const refused = ask.waiting - forWaiting;
+    bucket.returnTokens(request.returned, now);
+    bucket.charge(request.spent, now);
+    const grantedToWaiting = bucket.take(request.waiting, 0, now);
+    const reserve = bucket.bounds.capacity * PRESSURE_FRACTION;
+    const grantedAhead =
+      grantedToWaiting < request.waiting ? 0 : bucket.take(request.ahead, reserve, now);
+    const refused = request.waiting - grantedToWaiting;
     const used = {
-      admitted: forWaiting + ahead + ask.spent - ask.returned,
-      refused: refused + ask.refused,
-      refusedWithoutOwner: ask.refusedWithoutOwner,
+      admitted: grantedToWaiting + grantedAhead + request.spent - request.returned,
+      refused: refused + request.refused,
+      refusedWithoutOwner: request.refusedWithoutOwner,
     };
-    usage.note(used, now);
-    const pressureMs = bucket.timeUntil(reserve, now);
-    if (refused > 0) this.options.onLimit(tenant);
-    const returns = this.returnsOf(refused, bucket, now);
+    usage.record(used, now);
+    const pressureMs = bucket.msUntil(reserve, now);
+    if (refused > 0) this.options.onLimitReached(tenant);
+    const retryAfter = this.reserveRetries(refused, bucket, now);
     return {
       kind: 'answer',
-      tenant: ask.tenant,
-      granted: forWaiting + ahead,
+      tenant: request.tenant,
+      granted: grantedToWaiting + grantedAhead,
       pressureMs,
-      ...returns,
+      ...retryAfter,
     };
   }
 
-  private returnsOf(refused: number, bucket: TokenBucket, now: number): ToldReturns {
-    if (refused === 0) return NO_RETURNS;
-    const horizonMs = this.options.settings.windowMs * LONGEST_RETURN_WINDOWS;
+  private reserveRetries(refused: number, bucket: TokenBucket, now: number): RetryAfterTimes {
+    if (refused === 0) return NO_RETRY_AFTER;
+    const horizonMs = this.options.settings.windowMs * MAXIMUM_RETRY_AFTER_WINDOWS;
     return {
-      nextTokenMs: bucket.timeUntil(1, now),
-      retryAfterMs: bucket.reserveReturns(refused, horizonMs, now),
+      nextTokenMs: bucket.msUntil(1, now),
+      retryAfterMs: bucket.reserveRetries(refused, horizonMs, now),
       retrySpacingMs: 1 / bucket.bounds.ratePerMs,
     };
   }
 
-  private accountOf(tenant: Tenant): Account {
+  private getOrCreateAccount(tenant: Tenant): Account {
     const now = this.options.clock.now();
     const known = this.accounts.get(tenant.name);
     if (known?.tenant === tenant) return known;
-    const bounds = boundsOf(tenant, this.options.settings);
+    const bounds = computeQuotaBounds(tenant, this.options.settings);
     if (known !== undefined) {
-      known.bucket.useBounds(bounds, now);
+      known.bucket.updateBounds(bounds, now);
       known.tenant = tenant;
       return known;
     }
-    const level = bounds.beginning + (now - this.since) * bounds.ratePerMs;
+    const tokens = bounds.initialTokens + (now - this.ownedSince) * bounds.ratePerMs;
     const usage = new TenantUsage(this.options.settings.windowMs);
-    const account = { tenant, bucket: new TokenBucket(bounds, now, level), usage };
+    const account = { tenant, bucket: new TokenBucket(bounds, now, tokens), usage };
     this.accounts.set(tenant.name, account);
     return account;
   }
 
-  private answerUnknown({ tenant }: QuotaAskMessage): QuotaAnswerMessage {
+  private refuseUnknown({ tenant }: TokenRequestMessage): TokenResponseMessage {
     const retryAfterMs = UNKNOWN_TENANT_RETRY_MS;
     return {
       kind: 'answer',
@@ -148,20 +149,21 @@
     };
   }
 
-  private grantAll({ tenant, waiting, ahead }: QuotaAskMessage): QuotaAnswerMessage {
+  private grantAll({ tenant, waiting, ahead }: TokenRequestMessage): TokenResponseMessage {
     const granted = waiting + ahead;
-    return { kind: 'answer', tenant, granted, pressureMs: 0, ...NO_RETURNS };
+    return { kind: 'answer', tenant, granted, pressureMs: 0, ...NO_RETRY_AFTER };
   }
 
   /** Keeps memory bounded by the tenants that are in use. */
-  private forgetIdle(): void {
+  private evictIdle(): void {
     const now = this.options.clock.now();
-    if (now - this.lastForgottenAt < this.options.settings.windowMs * FORGET_WINDOWS) return;
-    this.lastForgottenAt = now;
+    if (now - this.lastEvictionAt < this.options.settings.windowMs * EVICTION_INTERVAL_WINDOWS)
+      return;
+    this.lastEvictionAt = now;
     for (const [name, { bucket, usage }] of this.accounts) {
       // Of a tenant that is not named any more, its last window: it may be named again.
-      const isOver = bucket.isIdle(now) || this.options.tenant(name) === undefined;
-      if (isOver && usage.isEmpty(now)) this.accounts.delete(name);
+      const isEvictable = bucket.isIdle(now) || this.options.findTenant(name) === undefined;
+      if (isEvictable && usage.isEmpty(now)) this.accounts.delete(name);
     }
   }
 }
--- a/src/tenants/quota-server.ts
+++ b/src/tenants/quota-server.ts
@@ -14,8 +14,8 @@
 import type { RouteDocumentRegister } from '../routes/route-document-register.js';
 import type { Clock } from '../seams/clock.js';
 import type { MessageConnection } from '../seams/message-connection.js';
-import { LimitNotices } from './limit-notices.js';
-import { QUOTA_CODEC, type QuotaAskMessage, type QuotaMessage } from './quota-messages.js';
+import { LimitWarnings } from './limit-warnings.js';
+import { QUOTA_CODEC, type TokenRequestMessage, type QuotaMessage } from './quota-messages.js';
 import { QuotaServerMetrics } from './quota-metrics.js';
 import { QuotaOwner } from './quota-owner.js';
 import type { UsageCounts } from './tenant-usage.js';
@@ -25,9 +25,9 @@
  * Part of the shortest election timeout for which a leader owns the tokens without hearing a
  * quorum: shorter than the silence after which members elect another one.
  */
-const OWNERSHIP_PART = 0.75;
+const OWNERSHIP_FRACTION = 0.75;
 /** A gateway that sends nothing for so long is cut off; it sends a round a few seconds apart. Milliseconds. */
-const LONGEST_SILENCE_MS = 15_000;
+const MAXIMUM_SILENCE_MS = 15_000;
 
 /** What was used of a tenant's limit in the last window. */
 export interface TenantUsageReport extends UsageCounts {
@@ -55,19 +55,19 @@
 
   constructor(private readonly options: QuotaServerOptions) {
     const { clock, settings, register, telemetry } = options;
-    const notices = new LimitNotices(clock, telemetry.logger);
+    const warnings = new LimitWarnings(clock, telemetry.logger);
     this.owner = new QuotaOwner({
       clock,
       settings,
-      tenant: (name) => this.tenants.get(name),
-      onLimit: ({ name }) => notices.note(name),
+      findTenant: (name) => this.tenants.get(name),
+      onLimitReached: ({ name }) => warnings.warn(name),
     });
     this.metrics = new QuotaServerMetrics(telemetry.registry, {
       isOwner: () => this.isOwner(options.log.status()),
-      tenants: () => this.owner.size,
+      tenants: () => this.owner.tenantCount,
     });
-    this.useDocument();
-    observe(register.changes, () => this.useDocument());
+    this.updateTenants();
+    observe(register.changes, () => this.updateTenants());
   }
 
   /** Who grants tokens, as this controller knows it; undefined while nobody is known to. */
@@ -90,17 +90,17 @@
 
   /** Serves one gateway until its connection ends. */
   async serve(connection: MessageConnection, peer: RemoteIdentity): Promise<void> {
-    const guard = new SilenceGuard(this.options.clock, connection, LONGEST_SILENCE_MS);
+    const guard = new SilenceGuard(this.options.clock, connection, MAXIMUM_SILENCE_MS);
     void guard.run();
     try {
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) return;
         guard.recordReceived();
-        const answer = QUOTA_CODEC.encodeBatch(this.answer(frame, peer.name));
+        const response = QUOTA_CODEC.encodeBatch(this.handleFrame(frame, peer.name));
         this.metrics.frames.inc();
-        this.metrics.bytes.inc(frame.length + answer.length);
-        await connection.send(answer);
+        this.metrics.bytes.inc(frame.length + response.length);
+        await connection.send(response);
       }
     } catch (error) {
       if (!isProtocolViolation(error)) return;
@@ -112,19 +112,22 @@
     }
   }
 
-  private answer(frame: Uint8Array, gateway: string): QuotaMessage[] {
-    const [round, ...asks] = QUOTA_CODEC.decodeBatch(frame, gateway);
+  private handleFrame(frame: Uint8Array, gateway: string): QuotaMessage[] {
+    const [round, ...messages] = QUOTA_CODEC.decodeBatch(frame, gateway);
     if (round?.kind !== 'round') {
       throw new MalformedMessageError('serve gateway', gateway, 'a frame without a round');
     }
-    const questions = asks.map((ask) => this.checked(ask, gateway));
+    const requests = messages.map((ask) => this.validateRequest(ask, gateway));
     const status = this.options.log.status();
     if (!this.isOwner(status)) return [{ kind: 'redirect', owner: this.leaderAddress(status) }];
-    this.noteOwnership(status.term);
-    return [{ kind: 'answered', round: round.round }, ...questions.map((ask) => this.grant(ask))];
+    this.startOwnershipIfNew(status.term);
+    return [
+      { kind: 'answered', round: round.round },
+      ...requests.map((request) => this.handleRequest(request)),
+    ];
   }
 
-  private checked(message: QuotaMessage, gateway: string): QuotaAskMessage {
+  private validateRequest(message: QuotaMessage, gateway: string): TokenRequestMessage {
     if (message.kind !== 'ask') {
       throw new MalformedMessageError('serve gateway', gateway, `unexpected ${message.kind}`);
     }
@@ -136,24 +139,24 @@
     return message;
   }
 
-  private grant(ask: QuotaAskMessage): QuotaMessage {
-    const answer = this.owner.answer(ask);
-    const admitted = Math.min(ask.waiting, answer.granted);
-    this.metrics.answers.inc({ result: 'granted' }, admitted);
-    this.metrics.answers.inc({ result: 'refused' }, ask.waiting - admitted);
-    this.metrics.answers.inc({ result: 'used_before' }, ask.spent);
-    return answer;
+  private handleRequest(request: TokenRequestMessage): QuotaMessage {
+    const response = this.owner.handleRequest(request);
+    const admitted = Math.min(request.waiting, response.granted);
+    this.metrics.requests.inc({ result: 'granted' }, admitted);
+    this.metrics.requests.inc({ result: 'refused' }, request.waiting - admitted);
+    this.metrics.requests.inc({ result: 'used_before' }, request.spent);
+    return response;
   }
 
   private isOwner({ role, sinceQuorumMs }: ReplicatedLogStatus): boolean {
-    return role === 'leader' && sinceQuorumMs < this.options.electionTimeoutMs * OWNERSHIP_PART;
+    return role === 'leader' && sinceQuorumMs < this.options.electionTimeoutMs * OWNERSHIP_FRACTION;
   }
 
   /** In the same term nobody else can have granted tokens, whatever passed in between. */
-  private noteOwnership(term: number): void {
+  private startOwnershipIfNew(term: number): void {
     if (this.ownedTerm === term) return;
     this.ownedTerm = term;
-    this.owner.begin();
+    this.owner.startOwnership();
     this.options.telemetry.logger.info('grants tokens of tenants', { term });
   }
 
@@ -162,7 +165,7 @@
     return members.find((member) => member.memberId === leaderId)?.address ?? '';
   }
 
-  private useDocument(): void {
+  private updateTenants(): void {
     const document = this.options.register.current();
     if (document === undefined) return;
     try {
--- a/src/tenants/return-schedule.ts
+++ b/src/tenants/retry-after-schedule.ts
@@ -1,12 +1,12 @@
 /** When refused requests of one tenant are told to come back, at one gateway. Load: a tenant far above its limit. */
 
 /** Refused requests are not told to come back later than this many windows. */
-export const LONGEST_RETURN_WINDOWS = 2;
+export const MAXIMUM_RETRY_AFTER_WINDOWS = 2;
 /** A time that is over would have the caller back at once. Milliseconds. */
-const SHORTEST_RETURN_MS = 1;
+const MINIMUM_RETRY_AFTER_MS = 1;
 
 /** What the owner last told. Milliseconds. */
-export interface ToldReturns {
+export interface RetryAfterTimes {
   /** Until the tenant has a token again. */
   readonly nextTokenMs: number;
   /** When the first of the refused requests may come back, and between two of them. */
@@ -15,28 +15,28 @@
 }
 
 /** See the module comment. Each has a time of its own, so that they do not all return at once. */
-export class ReturnSchedule {
+export class RetryAfterSchedule {
   private nextTokenAt = -Infinity;
-  private returnAt = -Infinity;
+  private nextRetryAt = -Infinity;
   private spacingMs = 0;
 
   /** Goes by what the owner told at `now`. */
-  use({ nextTokenMs, retryAfterMs, retrySpacingMs }: ToldReturns, now: number): void {
+  update({ nextTokenMs, retryAfterMs, retrySpacingMs }: RetryAfterTimes, now: number): void {
     this.nextTokenAt = now + nextTokenMs;
-    this.returnAt = now + retryAfterMs;
+    this.nextRetryAt = now + retryAfterMs;
     this.spacingMs = retrySpacingMs;
   }
 
   /** Whether the tenant has no token yet for certain. */
-  isTokenAway(now: number): boolean {
+  isTokenUnavailable(now: number): boolean {
     return now < this.nextTokenAt;
   }
 
   /** Behind those told before, and not later than `horizonMs` unless the next token is. Milliseconds from now. */
-  next(horizonMs: number, now: number): number {
+  reserve(horizonMs: number, now: number): number {
     const latest = Math.max(this.nextTokenAt, now + horizonMs);
-    const returnAt = Math.min(Math.max(this.returnAt, this.nextTokenAt), latest);
-    this.returnAt = returnAt + this.spacingMs;
-    return Math.max(SHORTEST_RETURN_MS, returnAt - now);
+    const retryAt = Math.min(Math.max(this.nextRetryAt, this.nextTokenAt), latest);
+    this.nextRetryAt = retryAt + this.spacingMs;
+    return Math.max(MINIMUM_RETRY_AFTER_MS, retryAt - now);
   }
 }
--- a/src/tenants/tenant-allowance.ts
+++ b/src/tenants/tenant-allowance.ts
@@ -1,6 +1,6 @@
 /** What one gateway holds and knows of one tenant's tokens. */
-import { ReturnSchedule } from './return-schedule.js';
-import { SmoothedRate } from './smoothed-rate.js';
+import { RetryAfterSchedule } from './retry-after-schedule.js';
+import { DecayingRate } from './decaying-rate.js';
 import type { QuotaBounds } from './quota-bounds.js';
 import type { QuotaDecision } from './tenant-quota.js';
 import type { Tenant } from './tenant.js';
@@ -13,8 +13,8 @@
 }
 
 /** What the owner was asked and has not answered yet. */
-export interface OpenQuestion {
-  readonly askedAt: number;
+export interface PendingTokenRequest {
+  readonly requestedAt: number;
   readonly spent: number;
   /** Those whose time is not over. */
   waiting: readonly WaitingRequest[];
@@ -22,13 +22,13 @@
 
 /** See the module comment. Times are clock readings. Milliseconds. */
 export class TenantAllowance {
-  readonly demand = new SmoothedRate();
+  readonly demand = new DecayingRate();
   /** Granted and not used. */
   tokens = 0;
-  private tokensUntil = -Infinity;
+  private tokensExpireAt = -Infinity;
   /** Until then nothing may be passed on without a token. */
   pressureUntil = -Infinity;
-  readonly returns = new ReturnSchedule();
+  readonly retrySchedule = new RetryAfterSchedule();
   /** Passed on without a token and not yet told to the owner. */
   spent = 0;
   /** Unused tokens that the owner is still to be told of, and since when. */
@@ -40,10 +40,10 @@
   refused = 0;
   refusedWithoutOwner = 0;
   waiting: WaitingRequest[] = [];
-  question: OpenQuestion | undefined;
+  pendingRequest: PendingTokenRequest | undefined;
   /** Of the present window without an owner. */
-  ownerlessSince = -Infinity;
-  ownerlessLeft = 0;
+  ownerlessWindowStart = -Infinity;
+  ownerlessRemaining = 0;
   /** When a request of the tenant last came. */
   lastUsedAt = -Infinity;
 
@@ -53,29 +53,30 @@
   ) {}
 
   /** Keeps granted tokens; of those of two grants the older end counts for all. */
-  hold(tokens: number, until: number): void {
+  addTokens(tokens: number, expiresAt: number): void {
     if (tokens <= 0) return;
-    this.tokensUntil = this.tokens > 0 ? Math.min(this.tokensUntil, until) : until;
+    this.tokensExpireAt = this.tokens > 0 ? Math.min(this.tokensExpireAt, expiresAt) : expiresAt;
     this.tokens += tokens;
   }
 
   /** Uses a token that is still valid; false when there is none. */
   useToken(now: number): boolean {
-    this.dropStale(now);
+    this.discardExpiredTokens(now);
     if (this.tokens === 0) return false;
     this.tokens -= 1;
     return true;
   }
 
   /** A stale token may not be used, but is returned while its lifetime bounds what it can add. */
-  dropStale(now: number): void {
-    if (this.tokens === 0 || now <= this.tokensUntil) return;
-    if (now <= this.tokensUntil + this.bounds.returnMs) this.noteReturned(this.tokens, now);
+  discardExpiredTokens(now: number): void {
+    if (this.tokens === 0 || now <= this.tokensExpireAt) return;
+    if (now <= this.tokensExpireAt + this.bounds.returnTimeoutMs)
+      this.recordReturned(this.tokens, now);
     this.tokens = 0;
   }
 
   /** Keeps unused tokens for the next question to the owner. */
-  noteReturned(tokens: number, now: number): void {
+  recordReturned(tokens: number, now: number): void {
     if (this.returned === 0) this.returnedSince = now;
     this.returned += tokens;
   }
@@ -88,12 +89,14 @@
   takeReturned(now: number): number {
     const { returned } = this;
     this.returned = 0;
-    return now - this.returnedSince > this.bounds.returnMs ? 0 : returned;
+    return now - this.returnedSince > this.bounds.returnTimeoutMs ? 0 : returned;
   }
 
   /** Whether nothing needs to be remembered of the tenant. */
   isIdle(now: number, windowMs: number): boolean {
     const isQuiet = now - this.lastUsedAt > windowMs;
-    return isQuiet && this.waiting.length === 0 && this.question === undefined && this.spent === 0;
+    return (
+      isQuiet && this.waiting.length === 0 && this.pendingRequest === undefined && this.spent === 0
+    );
   }
 }
--- a/src/tenants/tenant-directory.ts
+++ b/src/tenants/tenant-directory.ts
@@ -34,9 +34,12 @@
   }
 
   /** `before` itself where the tenants are the same: most documents change routes alone. */
-  static of(entries: readonly TenantEntry[], before?: TenantDirectory): TenantDirectory {
+  static createOrReuse(
+    entries: readonly TenantEntry[],
+    previous?: TenantDirectory,
+  ): TenantDirectory {
     const entriesDigest = digestOfEntries(entries);
-    if (before?.entriesDigest === entriesDigest) return before;
+    if (previous?.entriesDigest === entriesDigest) return previous;
     return new TenantDirectory(entries, entriesDigest);
   }
 
@@ -46,14 +49,14 @@
   }
 
   /** The tenant that holds the key. Takes the same time however many keys there are. */
-  holderOf(key: string): Tenant | undefined {
+  findByKey(key: string): Tenant | undefined {
     // Nobody holds it: spares the digest of what a caller sends to cost time.
     if (key.length > MAXIMUM_KEY_CHARACTERS) return undefined;
     return this.byDigest.get(digestOf(key));
   }
 
   /** The tenant of that name; undefined when the document has none. */
-  named(name: string): Tenant | undefined {
+  findByName(name: string): Tenant | undefined {
     return this.byName.get(name);
   }
 }
--- a/src/tenants/tenant-quota.ts
+++ b/src/tenants/tenant-quota.ts
@@ -24,11 +24,11 @@
    * A request that was taken ran nowhere: it does not count. One that was taken long ago may have
    * to count all the same. `takenAt`: clock reading. Milliseconds.
    */
-  giveBack(tenant: Tenant, takenAt: number): void;
+  returnToken(tenant: Tenant, takenAt: number): void;
 }
 
 /** Where no limits are kept. */
 export const UNLIMITED_QUOTA: TenantQuota = {
   take: () => ADMITTED,
-  giveBack: () => undefined,
+  returnToken: () => undefined,
 };
--- a/src/tenants/tenant-usage.ts
+++ b/src/tenants/tenant-usage.ts
@@ -10,9 +10,9 @@
 }
 
 /** The counts of a tenant that has sent nothing. */
-export const NOTHING_USED: UsageCounts = { admitted: 0, refused: 0, refusedWithoutOwner: 0 };
+export const NO_USAGE: UsageCounts = { admitted: 0, refused: 0, refusedWithoutOwner: 0 };
 
-function sumOf(left: UsageCounts, right: UsageCounts): UsageCounts {
+function addCounts(left: UsageCounts, right: UsageCounts): UsageCounts {
   return {
     admitted: left.admitted + right.admitted,
     refused: left.refused + right.refused,
@@ -22,20 +22,20 @@
 
 /** See the module comment. Two halves are kept, of which the older one is dropped as a whole. */
 export class TenantUsage {
-  private current = NOTHING_USED;
-  private previous = NOTHING_USED;
-  private begunAt = -Infinity;
+  private current = NO_USAGE;
+  private previous = NO_USAGE;
+  private currentStartedAt = -Infinity;
 
   constructor(private readonly windowMs: number) {}
 
-  note(counts: UsageCounts, now: number): void {
-    this.beginHalfIfDue(now);
-    this.current = sumOf(this.current, counts);
+  record(counts: UsageCounts, now: number): void {
+    this.rotateIfDue(now);
+    this.current = addCounts(this.current, counts);
   }
 
   read(now: number): UsageCounts {
-    this.beginHalfIfDue(now);
-    return sumOf(this.previous, this.current);
+    this.rotateIfDue(now);
+    return addCounts(this.previous, this.current);
   }
 
   isEmpty(now: number): boolean {
@@ -43,12 +43,12 @@
     return admitted === 0 && refused === 0 && refusedWithoutOwner === 0;
   }
 
-  private beginHalfIfDue(now: number): void {
+  private rotateIfDue(now: number): void {
     const halfMs = this.windowMs / 2;
-    const age = now - this.begunAt;
-    if (age < halfMs) return;
-    this.previous = age < this.windowMs ? this.current : NOTHING_USED;
-    this.current = NOTHING_USED;
-    this.begunAt = now;
+    const ageMs = now - this.currentStartedAt;
+    if (ageMs < halfMs) return;
+    this.previous = ageMs < this.windowMs ? this.current : NO_USAGE;
+    this.current = NO_USAGE;
+    this.currentStartedAt = now;
   }
 }
--- a/src/tenants/token-bucket.ts
+++ b/src/tenants/token-bucket.ts
@@ -3,73 +3,79 @@
 
 /** See the module comment. Times are readings of one clock. Milliseconds. */
 export class TokenBucket {
-  private level: number;
+  private tokens: number;
   /** Requests that were told to come back are expected up to this time. */
-  private returnsReservedUntil = -Infinity;
+  private retriesReservedUntil = -Infinity;
 
   constructor(
-    private limits: QuotaBounds,
-    private filledAt: number,
+    private currentBounds: QuotaBounds,
+    private refilledAt: number,
     level: number,
   ) {
-    this.level = Math.min(limits.capacity, level);
+    this.tokens = Math.min(currentBounds.capacity, level);
   }
 
   /** By another limit from now on; tokens beyond the new capacity are gone. */
-  useBounds(limits: QuotaBounds, now: number): void {
-    this.fill(now);
-    this.limits = limits;
-    this.level = Math.min(limits.capacity, this.level);
+  updateBounds(limits: QuotaBounds, now: number): void {
+    this.refill(now);
+    this.currentBounds = limits;
+    this.tokens = Math.min(limits.capacity, this.tokens);
   }
 
   get bounds(): QuotaBounds {
-    return this.limits;
+    return this.currentBounds;
   }
 
   /** Whether dropping it loses nothing: a new one would be as full. */
   isIdle(now: number): boolean {
-    this.fill(now);
-    return this.level >= this.limits.capacity && this.returnsReservedUntil <= now;
+    this.refill(now);
+    return this.tokens >= this.currentBounds.capacity && this.retriesReservedUntil <= now;
   }
 
   /** Takes off what was used without a token; may go below zero. */
   charge(tokens: number, now: number): void {
-    this.fill(now);
-    this.level -= tokens;
+    this.refill(now);
+    this.tokens -= tokens;
   }
 
-  giveBack(tokens: number, now: number): void {
-    this.fill(now);
-    this.level = Math.min(this.limits.capacity, this.level + tokens);
+  returnTokens(tokens: number, now: number): void {
+    this.refill(now);
+    this.tokens = Math.min(this.currentBounds.capacity, this.tokens + tokens);
   }
 
   /** Takes at most `wanted` whole tokens, and leaves `reserve` where they are not needed. */
   take(wanted: number, reserve: number, now: number): number {
-    this.fill(now);
-    const taken = Math.max(0, Math.min(wanted, Math.floor(this.level - reserve)));
-    this.level -= taken;
+    this.refill(now);
+    const taken = Math.max(0, Math.min(wanted, Math.floor(this.tokens - reserve)));
+    this.tokens -= taken;
     return taken;
   }
 
   /** Until the bucket holds `tokens`. Milliseconds. */
-  timeUntil(tokens: number, now: number): number {
-    this.fill(now);
-    return Math.max(0, tokens - this.level) / this.limits.ratePerMs;
+  msUntil(tokens: number, now: number): number {
+    this.refill(now);
+    return Math.max(0, tokens - this.tokens) / this.currentBounds.ratePerMs;
   }
 
   /**
    * When the first of the refused requests is to come back: each has a token of its own, behind
    * those refused before, at most `horizonMs` from now. Milliseconds from now.
    */
-  reserveReturns(refused: number, horizonMs: number, now: number): number {
-    const first = Math.max(now + this.timeUntil(1, now), this.returnsReservedUntil);
-    this.returnsReservedUntil = Math.min(first + refused / this.limits.ratePerMs, now + horizonMs);
-    return Math.min(first - now, Math.max(horizonMs, this.timeUntil(1, now)));
+  reserveRetries(refused: number, horizonMs: number, now: number): number {
+    const first = Math.max(now + this.msUntil(1, now), this.retriesReservedUntil);
+    this.retriesReservedUntil = Math.min(
+      first + refused / this.currentBounds.ratePerMs,
+      now + horizonMs,
+    );
+    return Math.min(first - now, Math.max(horizonMs, this.msUntil(1, now)));
   }
 
-  private fill(now: number): void {
-    const passed = Math.max(0, now - this.filledAt);
-    this.level = Math.min(this.limits.capacity, this.level + passed * this.limits.ratePerMs);
-    this.filledAt = Math.max(this.filledAt, now);
+  private refill(now: number): void {
+    const elapsedMs = Math.max(0, now - this.refilledAt);
+    this.tokens = Math.min(
+      this.currentBounds.capacity,
+      this.tokens + elapsedMs * this.currentBounds.ratePerMs,
+    );
+    this.refilledAt = Math.max(this.refilledAt, now);
   }
 }
--- a/src/tenants/unconfirmed-uses.ts
+++ b/src/tenants/unconfirmed-uses.ts
@@ -22,10 +22,10 @@
 
 /** See the module comment. */
 export class UnconfirmedUses {
-  readonly fleet: FleetSize;
+  readonly fleetSize: FleetSize;
 
   constructor(private readonly options: UnconfirmedUsesOptions) {
-    this.fleet = new FleetSize(options.startedAt);
+    this.fleetSize = new FleetSize(options.startedAt);
   }
 
   /** Takes one while there is an owner, who is told of it. */
@@ -36,21 +36,22 @@
 
   /** Takes one while there is no owner. */
   takeWithoutOwner(allowance: TenantAllowance, now: number): boolean {
-    if (now - allowance.ownerlessSince >= this.options.windowMs) {
-      allowance.ownerlessSince = now;
-      allowance.ownerlessLeft = this.draw(allowance, now) - allowance.unconfirmed;
+    if (now - allowance.ownerlessWindowStart >= this.options.windowMs) {
+      allowance.ownerlessWindowStart = now;
+      allowance.ownerlessRemaining =
+        this.drawOwnerlessShare(allowance, now) - allowance.unconfirmed;
     }
-    if (allowance.ownerlessLeft < 1) return false;
-    allowance.ownerlessLeft -= 1;
+    if (allowance.ownerlessRemaining < 1) return false;
+    allowance.ownerlessRemaining -= 1;
     return true;
   }
 
   /** Nothing while the number of gateways is not known. */
   private shareOf({ bounds }: TenantAllowance, now: number): number {
-    return bounds.unconfirmed / this.fleet.read(now);
+    return bounds.maximumUnconfirmed / this.fleetSize.estimate(now);
   }
 
-  private draw(allowance: TenantAllowance, now: number): number {
+  private drawOwnerlessShare(allowance: TenantAllowance, now: number): number {
     const share = this.shareOf(allowance, now) / 2;
     const whole = Math.floor(share);
     return this.options.random.nextFloat() < share - whole ? whole + 1 : whole;
--- a/test/directory/version-confirmer.test.ts
+++ b/test/directory/version-confirmer.test.ts
@@ -127,7 +127,7 @@
         registry: new Registry(),
         stopped: new AbortController().signal,
       });
-      lease.useTable(createTable(needsKeys));
+      lease.setRouteTable(createTable(needsKeys));
       this.leases.push(lease);
       void lease.run();
     }
@@ -149,7 +149,7 @@
     this.askedAt.push(this.clock.now());
     this.clock.setTimer(LINK_MS, () =>
       controller?.confirmer.ask(number, ({ version }) => {
-        this.clock.setTimer(LINK_MS, () => lease().takeAnswer(number, version));
+        this.clock.setTimer(LINK_MS, () => lease().handleConfirmation(number, version));
       }),
     );
     return true;
--- a/test/gateway/answer-margin.test.ts
+++ b/test/gateway/answer-margin.test.ts
@@ -3,7 +3,7 @@
 
 function withLag(lag: number, learns = true): AnswerMargin {
   const margin = new AnswerMargin(learns);
-  for (let index = 0; index < 30; index += 1) margin.noteTimer(lag);
+  for (let index = 0; index < 30; index += 1) margin.recordTimerLag(lag);
   return margin;
 }
 
@@ -18,7 +18,7 @@
   it('takes at most a part of the target, and forgets what is past', () => {
     expect(withLag(500).cutOffDelay(100)).toBe(70);
     const margin = withLag(500);
-    for (let index = 0; index < 600; index += 1) margin.noteTimer(1);
+    for (let index = 0; index < 600; index += 1) margin.recordTimerLag(1);
     expect(margin.cutOffDelay(100)).toBeGreaterThan(79);
   });
 
--- a/test/gateway/authentication.test.ts
+++ b/test/gateway/authentication.test.ts
@@ -79,7 +79,7 @@
   ];
   for (const [what, name, rank] of ranks) {
     it(`is that of ${what}, also at other gateways`, () => {
-      const tenant = name === undefined ? undefined : TABLE.tenants?.named(name);
+      const tenant = name === undefined ? undefined : TABLE.tenants?.findByName(name);
       const request = { ...base, tenant } as CallerRequest;
       expect(priorityOf(request)).toBe(rank);
       const message = AGGREGATION_CODEC.decode(encodeRequest(request, 1), 'root');
--- a/test/gateway/waiting-replay.test.ts
+++ b/test/gateway/burst-simulation.test.ts
@@ -27,10 +27,10 @@
 const TARGET_MS = 1_002;
 const DEADLINE_MS = 8_012;
 /** The usual rate is this part of what the replicas bear. */
-const USUAL_PART = 0.5;
+const USUAL_LOAD_FRACTION = 0.5;
 const BURST_FACTOR = 2.6;
 const BURST_MS = 6_000;
-const PLAYED_MS = 8_000;
+const DURATION_MS = 8_000;
 
 const TABLE = new RouteTable(
   readRouteDocument(
@@ -55,7 +55,7 @@
   ),
 );
 
-interface Played {
+interface BurstResult {
   readonly requests: number;
   readonly inTime: number;
   readonly late: number;
@@ -91,7 +91,7 @@
     regions: new ZoneRegions({}, { zone: 'a', region: 'r' }),
     secondSends: { ratio: 0.2, slack: 214, windowMs: 10_000 },
     lease: { isHeld: true, retryAfterMs: 0 },
-    quota: { take: () => ({ isAdmitted: true }), giveBack: () => undefined },
+    quota: { take: () => ({ isAdmitted: true }), returnToken: () => undefined },
     countGateways: () => GATEWAYS,
     reportEvidence: () => false,
   });
@@ -131,11 +131,11 @@
 }
 
 /** Plays a burst of callers that come back once after a refusal, as they are told. */
-async function play(
+async function simulateBurst(
   { workMs, fault }: Scenario,
   changed: Partial<GatewayMechanisms>,
   seed = 3,
-): Promise<Played> {
+): Promise<BurstResult> {
   const simulation = new Simulation(seed);
   const arrivals = seededRandom(seed, 'arrivals');
   const returns = seededRandom(seed, 'returns');
@@ -172,9 +172,9 @@
     }
     counts.refused += 1;
   };
-  const usualRate = (USUAL_PART * REPLICAS * SLOTS) / WORK_MS;
+  const usualRate = (USUAL_LOAD_FRACTION * REPLICAS * SLOTS) / WORK_MS;
   const asked: Promise<void>[] = [];
-  for (let now = 0; now < PLAYED_MS; now = simulation.now) {
+  for (let now = 0; now < DURATION_MS; now = simulation.now) {
     const isBurst = now > 1_000 && now < 1_000 + BURST_MS;
     const rate = usualRate * (isBurst ? BURST_FACTOR : 1);
     await simulation.runFor(-Math.log(1 - arrivals.nextFloat()) / rate);
@@ -187,9 +187,9 @@
 
 const BEFORE = { boundedConnecting: false, expectedWait: false, endedReplicas: false };
 
-async function compare(name: string, scenario: Scenario): Promise<[Played, Played]> {
-  const before = await play(scenario, BEFORE);
-  const after = await play(scenario, { expectedWait: true });
+async function compare(name: string, scenario: Scenario): Promise<[BurstResult, BurstResult]> {
+  const before = await simulateBurst(scenario, BEFORE);
+  const after = await simulateBurst(scenario, { expectedWait: true });
   console.log(name, 'before', JSON.stringify(before), 'after', JSON.stringify(after));
   return [before, after];
 }
--- a/test/gateway/cold-send-slots.test.ts
+++ b/test/gateway/cold-send-limiter.test.ts
@@ -1,9 +1,9 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
-import { ColdSendSlots, coldSlotLength } from '../../src/gateway/cold-send-slots.js';
+import { ColdSendLimiter, coldSendInterval } from '../../src/gateway/cold-send-limiter.js';
 
-const DAY_MS = 20_000;
+const DURATION_MS = 20_000;
 const STEP_MS = 5;
 /** What a cold replica may get beyond its rate, as the platform bounds it. */
 const OVERRUN = 1.5;
@@ -12,14 +12,14 @@
 /** Most sendings in any second of a fleet in which every gateway always wants to send. */
 function worstSecond(gateways: number, perSecond: number, seed: number, idleMs: number): number {
   const random = seededRandom(seed, 'slots');
-  const slotLength = coldSlotLength(perSecond, gateways);
-  const fleet = Array.from({ length: gateways }, () => new ColdSendSlots(random.nextFloat()));
+  const interval = coldSendInterval(perSecond, gateways);
+  const fleet = Array.from({ length: gateways }, () => new ColdSendLimiter(random.nextFloat()));
   const sends: number[] = [];
   let worst = 0;
-  for (let now = idleMs; now < DAY_MS; now += STEP_MS) {
-    for (const slots of fleet) {
-      if (!slots.isOpen(now, slotLength)) continue;
-      slots.use(now, slotLength);
+  for (let now = idleMs; now < DURATION_MS; now += STEP_MS) {
+    for (const limiter of fleet) {
+      if (!limiter.allows(now, interval)) continue;
+      limiter.recordSend(now, interval);
       sends.push(now);
     }
     while ((sends[0] ?? now) <= now - 1_000) sends.shift();
@@ -43,12 +43,12 @@
   });
 
   it('let a gateway alone send at more than half of the rate', () => {
-    const slotLength = coldSlotLength(10, 1);
-    const slots = new ColdSendSlots(0);
+    const slotLength = coldSendInterval(10, 1);
+    const slots = new ColdSendLimiter(0);
     let sends = 0;
     for (let now = 0; now < 10_000; now += STEP_MS) {
-      if (!slots.isOpen(now, slotLength)) continue;
-      slots.use(now, slotLength);
+      if (!slots.allows(now, slotLength)) continue;
+      slots.recordSend(now, slotLength);
       sends += 1;
     }
     expect(sends).toBeGreaterThanOrEqual(50);
--- a/test/gateway/bounded-connecting.test.ts
+++ b/test/gateway/connect-timeouts.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { ReplicaBehaviour, type ExchangeReplica } from '../../lab/exchange/exchange-replica.js';
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
-import { longestConnect, longestUnsent } from '../../src/gateway/connect-bounds.js';
+import { connectTimeout, sendTimeout } from '../../src/gateway/connect-timeouts.js';
 import type { GatewayMechanisms } from '../../src/configuration/gateway-mechanisms.js';
 import { GatewayHarness } from './gateway-harness.js';
 
@@ -33,7 +33,7 @@
 }
 
 /** Opening packets from the gateway to the replica are dropped from now on. */
-function dropOpenings(harness: GatewayHarness, replica: ExchangeReplica): () => void {
+function dropSynPackets(harness: GatewayHarness, replica: ExchangeReplica): () => void {
   const rule = harness.simulation.cut({
     from: { machine: harness.machine.name },
     to: { machine: harness.machineOf(replica).name },
@@ -42,11 +42,13 @@
 }
 
 /** Times of eight requests, of which some meet the replica that drops opening packets. Milliseconds. */
-async function timesBesideDropping(mechanisms: Partial<GatewayMechanisms>): Promise<number[]> {
+async function latenciesWithDroppingReplica(
+  mechanisms: Partial<GatewayMechanisms>,
+): Promise<number[]> {
   const [harness, [dropping, slow]] = await start(2, mechanisms);
   if (dropping === undefined || slow === undefined) return expect.fail('no replicas');
   slow.workMs = SLOW_MS;
-  dropOpenings(harness, dropping);
+  dropSynPackets(harness, dropping);
   const { clock } = harness.machine.environment;
   const times: number[] = [];
   for (let index = 0; index < 8; index += 1) {
@@ -61,35 +63,35 @@
 
 describe('the bounds of opening connections', () => {
   it('leave time for another replica within the target, and none after half of it', () => {
-    expect(longestConnect(TARGET_MS, 0)).toBe(100);
-    expect(longestConnect(TARGET_MS, 450)).toBe(50);
-    expect(longestConnect(TARGET_MS, longestUnsent(TARGET_MS))).toBe(1);
-    expect(longestConnect(60, 0)).toBe(30);
+    expect(connectTimeout(TARGET_MS, 0)).toBe(100);
+    expect(connectTimeout(TARGET_MS, 450)).toBe(50);
+    expect(connectTimeout(TARGET_MS, sendTimeout(TARGET_MS))).toBe(1);
+    expect(connectTimeout(60, 0)).toBe(30);
   });
 
   it('leave a further sending as long however late it is', () => {
-    expect(longestConnect(TARGET_MS, undefined)).toBe(100);
-    expect(longestConnect(60, undefined)).toBe(50);
+    expect(connectTimeout(TARGET_MS, undefined)).toBe(100);
+    expect(connectTimeout(60, undefined)).toBe(50);
   });
 });
 
 describe('a request whose replica drops opening packets', () => {
   it('goes to another one soon', async () => {
-    const bounded = await timesBesideDropping({});
-    const unbounded = await timesBesideDropping({ boundedConnecting: false });
-    const most = longestConnect(TARGET_MS, 0) + SLOW_MS + 20;
+    const bounded = await latenciesWithDroppingReplica({});
+    const unbounded = await latenciesWithDroppingReplica({ boundedConnecting: false });
+    const most = connectTimeout(TARGET_MS, 0) + SLOW_MS + 20;
     expect(Math.max(...bounded)).toBeLessThan(most);
     expect(Math.max(...unbounded)).toBeGreaterThan(most + SLOW_MS / 2);
   });
 
   it('is refused within half of its target where there is no other, and never arrives', async () => {
     const [harness, replicas] = await start(3);
-    const heals = replicas.map((replica) => dropOpenings(harness, replica));
+    const heals = replicas.map((replica) => dropSynPackets(harness, replica));
     const { clock } = harness.machine.environment;
     const sentAt = clock.now();
     const answer = await harness.call({ path: '/ledger/1', deadlineMs: DEADLINE_MS });
     expect(answer.status).toBe(503);
-    expect(clock.now() - sentAt).toBeLessThanOrEqual(longestUnsent(TARGET_MS) + 10);
+    expect(clock.now() - sentAt).toBeLessThanOrEqual(sendTimeout(TARGET_MS) + 10);
     for (const heal of heals) heal();
     await harness.simulation.runFor(DEADLINE_MS);
     expect(replicas.flatMap(({ runs }) => runs)).toEqual([]);
@@ -97,7 +99,7 @@
 });
 
 /** Sends requests while links to replicas fail and heal and replicas refuse; counts what came of it. */
-async function playSchedule(seed: number): Promise<{ refused: number; answered: number }> {
+async function runRandomSchedule(seed: number): Promise<{ refused: number; answered: number }> {
   const random = seededRandom(seed, 'schedule');
   const [harness, replicas] = await start(3, { hedging: true }, seed);
   await harness.putRoutes([{ ...ROUTE, execution: 'atMostOnce' }]);
@@ -108,7 +110,7 @@
       const isRefusing = random.nextFloat() < 0.3;
       replica.behaviour = isRefusing ? ReplicaBehaviour.Refuse : ReplicaBehaviour.Serve;
       if (random.nextFloat() > 0.5) continue;
-      const heal = dropOpenings(harness, replica);
+      const heal = dropSynPackets(harness, replica);
       harness.simulation.at(harness.simulation.now + random.nextInteger(1, 1_500), heal);
     }
     const id = `call-${index}`;
@@ -135,7 +137,7 @@
   it('is given only when no replica runs the request, then or later', async () => {
     const counts = { refused: 0, answered: 0 };
     for (let seed = 1; seed <= 6; seed += 1) {
-      const { refused, answered } = await playSchedule(seed);
+      const { refused, answered } = await runRandomSchedule(seed);
       counts.refused += refused;
       counts.answered += answered;
     }
--- a/test/gateway/expected-wait.test.ts
+++ b/test/gateway/expected-wait.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { RegisteredState } from '../../src/directory/replica-entry.js';
-import { ColdSendSlots } from '../../src/gateway/cold-send-slots.js';
-import { expectedRoom, expectedWait, refusalReason } from '../../src/gateway/expected-wait.js';
+import { ColdSendLimiter } from '../../src/gateway/cold-send-limiter.js';
+import { shortestBusyWait, expectedWait, refusalReason } from '../../src/gateway/expected-wait.js';
 import { ReplicaTarget } from '../../src/gateway/replica-target.js';
 import type { HttpClient } from '../../src/seams/http.js';
 
@@ -24,7 +24,7 @@
     sequence: 1,
     warmupMs: 0,
   };
-  const target = new ReplicaTarget(entry, CLIENT, entry.address, -Infinity, new ColdSendSlots(0));
+  const target = new ReplicaTarget(entry, CLIENT, entry.address, -Infinity, new ColdSendLimiter(0));
   if (running !== undefined) target.load = { running, waiting, slots: 2, workFactor: 1, at };
   return target;
 }
@@ -33,7 +33,7 @@
   targets: readonly ReplicaTarget[],
   deadline = NOW + 300,
 ): Parameters<typeof refusalReason>[0] {
-  return { targets, usualLatency: WORK_MS, offeredBy: NOW + 50, deadline, now: NOW };
+  return { targets, medianLatency: WORK_MS, sendDeadline: NOW + 50, deadline, now: NOW };
 }
 
 describe('the expected wait at a replica', () => {
@@ -58,7 +58,7 @@
 
   it('is longer at one that was slow lately', () => {
     const slow = replica(2, 2);
-    slow.noteLatency(8, NOW);
+    slow.recordLatency(8, NOW);
     expect(expectedWait(slow, WORK_MS, NOW)).toBeGreaterThan(300);
   });
 });
@@ -87,14 +87,14 @@
   });
 
   it('finds room first at the busy replica whose queue is the shortest', () => {
-    expect(expectedRoom(query([replica(2, 8), replica(2, 1), replica()]))).toBe(100);
-    expect(expectedRoom(query([replica(), replica(1)]))).toBeUndefined();
+    expect(shortestBusyWait(query([replica(2, 8), replica(2, 1), replica()]))).toBe(100);
+    expect(shortestBusyWait(query([replica(), replica(1)]))).toBeUndefined();
   });
 
   it('knows nothing of when a replica that cannot be reached has room', () => {
     const unreachable = replica(2, 1);
-    unreachable.noteFailure(NOW);
-    expect(expectedRoom(query([unreachable]))).toBeUndefined();
-    expect(expectedRoom(query([unreachable, replica(2, 8)]))).toBe(450);
+    unreachable.recordFailure(NOW);
+    expect(shortestBusyWait(query([unreachable]))).toBeUndefined();
+    expect(shortestBusyWait(query([unreachable, replica(2, 8)]))).toBe(450);
   });
 });
--- a/test/gateway/mechanisms.test.ts
+++ b/test/gateway/mechanisms.test.ts
@@ -12,7 +12,7 @@
 /** More requests than one gateway sends to a replica at once. */
 const MANY = 40;
 /** Far below the time after which a request without room is refused. Milliseconds. */
-const MOMENTS_MS = 20;
+const IMMEDIATE_MS = 20;
 /** Beyond the target of 200 ms, well within the deadline. Milliseconds. */
 const LATE_MS = 600;
 
@@ -75,7 +75,7 @@
     };
     void harness.send({ path: '/one/1' }).then(onAnswer, () => undefined);
   }
-  await harness.simulation.runFor(MOMENTS_MS);
+  await harness.simulation.runFor(IMMEDIATE_MS);
   return refused;
 }
 
--- a/test/gateway/overload-shedding.test.ts
+++ b/test/gateway/overload-shedding.test.ts
@@ -21,7 +21,7 @@
 
 function report(shedding: OverloadShedding, busyOfTen: number, reports: number): void {
   for (let index = 0; index < reports; index += 1) {
-    shedding.note(SET, index % 10 < busyOfTen ? BUSY : CALM);
+    shedding.recordLoad(SET, index % 10 < busyOfTen ? BUSY : CALM);
   }
 }
 
--- a/test/gateway/ended-replicas.test.ts
+++ b/test/gateway/replacement-signal.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { GatewayMechanisms } from '../../src/configuration/gateway-mechanisms.js';
-import { ReplicaEnd } from '../../src/gateway/replica-end.js';
+import { ReplacementSignal } from '../../src/gateway/replacement-signal.js';
 import { GatewayHarness, type TestRoute } from './gateway-harness.js';
 
 const ROUTE: TestRoute = {
@@ -13,10 +13,10 @@
 /** Of which a gateway that has just started may spend one. */
 const SECOND_SENDS = { ratio: 0.2, slack: 500 };
 /** In which the replica at the address has registered and the gateway knows it. Milliseconds. */
-const KNOWN_MS = 3_000;
+const REPLACEMENT_KNOWN_MS = 3_000;
 
 /** A request at work at a replica whose machine goes dark, and whose address another one gets. */
-async function playDarkReplica(
+async function sendToReplacedReplica(
   route: Partial<TestRoute>,
   mechanisms: Partial<GatewayMechanisms> = {},
 ): Promise<{ status: number; tookMs: number; runs: number }> {
@@ -42,21 +42,24 @@
 
 describe('a request at work at a replica that goes dark', () => {
   it('ends when another replica has its address, where it may not be sent again', async () => {
-    const { status, tookMs, runs } = await playDarkReplica({ execution: 'atMostOnce' });
+    const { status, tookMs, runs } = await sendToReplacedReplica({ execution: 'atMostOnce' });
     expect(status).toBe(502);
-    expect(tookMs).toBeLessThan(KNOWN_MS);
+    expect(tookMs).toBeLessThan(REPLACEMENT_KNOWN_MS);
     expect(runs).toBe(1);
   });
 
   it('is sent to the other replica where it may be', async () => {
-    const { status, tookMs, runs } = await playDarkReplica({ execution: 'repeatable' });
+    const { status, tookMs, runs } = await sendToReplacedReplica({ execution: 'repeatable' });
     expect(status).toBe(200);
-    expect(tookMs).toBeLessThan(KNOWN_MS);
+    expect(tookMs).toBeLessThan(REPLACEMENT_KNOWN_MS);
     expect(runs).toBe(2);
   });
 
   it('waits for its deadline without the mechanism', async () => {
-    const played = await playDarkReplica({ execution: 'atMostOnce' }, { endedReplicas: false });
+    const played = await sendToReplacedReplica(
+      { execution: 'atMostOnce' },
+      { endedReplicas: false },
+    );
     expect(played.status).toBe(504);
     expect(played.tookMs).toBeGreaterThan(DEADLINE_MS - 100);
   });
@@ -64,14 +67,14 @@
 
 describe('the end of a replica', () => {
   it('is told once, and not to those that ceased to wait', () => {
-    const ending = new ReplicaEnd();
+    const ending = new ReplacementSignal();
     const told: string[] = [];
     const cancelled = (): void => void told.push('cancelled');
     ending.once(() => told.push('waiting'));
     ending.once(cancelled);
     ending.cancel(cancelled);
-    ending.note();
-    ending.note();
+    ending.emit();
+    ending.emit();
     expect(told).toEqual(['waiting']);
   });
 });
--- a/test/gateway/replica-choice.test.ts
+++ b/test/gateway/replica-choice.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import { ALL_MECHANISMS } from '../../src/configuration/gateway-mechanisms.js';
 import { RegisteredState } from '../../src/directory/replica-entry.js';
-import { ColdSendSlots } from '../../src/gateway/cold-send-slots.js';
+import { ColdSendLimiter } from '../../src/gateway/cold-send-limiter.js';
 import { ReplicaChoice, type ChoiceQuery } from '../../src/gateway/replica-choice.js';
 import { ReplicaTarget } from '../../src/gateway/replica-target.js';
 import { ManualClock } from '../support/manual-clock.js';
@@ -25,7 +25,7 @@
     sequence: 1,
     warmupMs: 0,
   };
-  return new ReplicaTarget(entry, NO_CLIENT, entry.address, -Infinity, new ColdSendSlots(0));
+  return new ReplicaTarget(entry, NO_CLIENT, entry.address, -Infinity, new ColdSendLimiter(0));
 }
 
 /** A gateway in {@link NEAR_ZONE}, with one replica there and one in {@link FAR_ZONE}. */
@@ -42,11 +42,11 @@
     return choice.choose({
       targets: [this.far, this.near],
       excluded: new Set(),
-      usualLatency: 20,
+      medianLatency: 20,
       targetLatency: 100,
-      stake: 1,
+      valueFraction: 1,
       maximumInFlight: 8,
-      coldSlotLength: Infinity,
+      coldSendInterval: Infinity,
       ...query,
     });
   }
@@ -83,8 +83,8 @@
 it('stays near for longer the less of the request rides on the answer', () => {
   const zones = new TwoZones();
   zones.occupyNear(4);
-  expect(zones.choose(0.2, { stake: 1 })).toBe(zones.far);
-  expect(zones.choose(0.2, { stake: 0.1 })).toBe(zones.near);
+  expect(zones.choose(0.2, { valueFraction: 1 })).toBe(zones.far);
+  expect(zones.choose(0.2, { valueFraction: 0.1 })).toBe(zones.near);
 });
 
 it('goes to the other zone when the near replica is not to be asked', () => {
@@ -101,7 +101,7 @@
 
 it('goes by how long answers took unless that is switched off', () => {
   const zones = new TwoZones();
-  for (let sample = 0; sample < 20; sample += 1) zones.near.noteLatency(6, 0);
+  for (let sample = 0; sample < 20; sample += 1) zones.near.recordLatency(6, 0);
   expect(zones.choose(0.2)).toBe(zones.far);
   zones.mechanisms = { ...ALL_MECHANISMS, slowness: false };
   expect(zones.choose(0.2)).toBe(zones.near);
@@ -118,7 +118,7 @@
 
 it('leaves a replica alone that could not be used unless that is switched off', () => {
   const zones = new TwoZones();
-  zones.near.noteFailure(0);
+  zones.near.recordFailure(0);
   expect(zones.choose(1)).toBe(zones.far);
   zones.mechanisms = { ...ALL_MECHANISMS, resting: false };
   expect(zones.choose(1)).toBe(zones.near);
@@ -142,5 +142,5 @@
 it('leaves a late near replica of one of many shards too, whatever the way costs', () => {
   const zones = new TwoZones();
   zones.occupyNear(12);
-  expect(zones.choose(0.2, { stake: 0.02 })).toBe(zones.far);
+  expect(zones.choose(0.2, { valueFraction: 0.02 })).toBe(zones.far);
 });
--- a/test/gateway/replica-lives.test.ts
+++ b/test/gateway/replica-incarnations.test.ts
@@ -2,7 +2,7 @@
 import { GatewayHarness } from './gateway-harness.js';
 
 /** In which a gateway hears of a replica that registered. Milliseconds. */
-const HEARD_MS = 3_000;
+const DISCOVERED_MS = 3_000;
 const BORN_AT = 1_790_000_000_000;
 
 async function startWithOneReplica() {
@@ -18,7 +18,7 @@
     expect(await harness.simulation.settle(replica.drain())).toBe(true);
     expect((await harness.call({ path: '/ledger/a' })).status).toBe(503);
     const next = harness.restartReplica(replica, BORN_AT + 60_000);
-    await harness.simulation.runFor(HEARD_MS);
+    await harness.simulation.runFor(DISCOVERED_MS);
     expect((await harness.call({ path: '/ledger/b' })).status).toBe(200);
     expect(next.runs).toHaveLength(1);
   });
@@ -30,7 +30,7 @@
       expect((await harness.call({ path: '/ledger/a', deadlineMs: 300 })).status).not.toBe(200);
     }
     const next = harness.restartReplica(replica, BORN_AT + 60_000);
-    await harness.simulation.runFor(HEARD_MS);
+    await harness.simulation.runFor(DISCOVERED_MS);
     expect((await harness.call({ path: '/ledger/b', deadlineMs: 300 })).status).toBe(200);
     expect(next.runs).toHaveLength(1);
   });
@@ -46,7 +46,7 @@
     const next = harness.restartReplica(replica, BORN_AT + 60_000);
     const { status } = await harness.simulation.settle(sent);
     expect(status).toBe(502);
-    await harness.simulation.runFor(HEARD_MS);
+    await harness.simulation.runFor(DISCOVERED_MS);
     expect(next.runs).toEqual([]);
   });
 });
--- a/test/gateway/replica-model.ts
+++ b/test/gateway/replica-model.ts
@@ -3,7 +3,7 @@
 import { NotRunReason } from '../../src/gateway/attempt-result.js';
 import type { CallerRequest } from '../../src/gateway/caller-request.js';
 import type { ReplicaTarget } from '../../src/gateway/replica-target.js';
-import type { AttemptSender, Sending } from '../../src/gateway/send-attempt.js';
+import type { AttemptSender, SendOptions } from '../../src/gateway/attempt-sender.js';
 import type { Clock } from '../../src/seams/clock.js';
 
 /** Fault in how a modelled replica accepts connections, answers or reports its load. */
@@ -76,10 +76,10 @@
   clock: Clock,
   models: ReadonlyMap<string, ReplicaModel>,
 ): Pick<AttemptSender, 'send'> {
-  const exchange = async (target: ReplicaTarget, sending: Sending): Promise<AttemptResult> => {
+  const exchange = async (target: ReplicaTarget, sending: SendOptions): Promise<AttemptResult> => {
     const model = models.get(target.entry.replicaId);
     if (model === undefined || model.fault === ModelFault.DropsConnections) {
-      await clock.sleep(sending.connectWithin ?? CONNECT_TIMEOUT_MS);
+      await clock.sleep(sending.connectTimeout ?? CONNECT_TIMEOUT_MS);
       return { kind: 'notRun', reason: NotRunReason.Unreachable };
     }
     await clock.sleep(ROUND_TRIP_MS);
@@ -93,7 +93,7 @@
     return { kind: 'answered', answer: ANSWER };
   };
   return {
-    send: (_request: CallerRequest, target: ReplicaTarget, sending: Sending) => {
+    send: (_request: CallerRequest, target: ReplicaTarget, sending: SendOptions) => {
       const aborted = new Promise<AttemptResult>((resolve) => {
         sending.signal.addEventListener('abort', () => resolve({ kind: 'cancelled' }));
       });
--- a/test/gateway/service-targets.test.ts
+++ b/test/gateway/service-targets.test.ts
@@ -59,7 +59,7 @@
     expect(idsOf(targets)).toEqual([]);
     const [dead] = targets.of('other');
     if (dead === undefined) return expect.fail('no target');
-    targets.noteReplaced(dead);
+    targets.markReplaced(dead);
     expect(idsOf(targets)).toEqual(['alive']);
   });
 
@@ -81,10 +81,10 @@
     const startedAt = now();
     directory.report(entry('i', { warmupMs: 2_000 }));
     const [target] = targets.of('ledger');
-    expect(target?.warmUntil).toBe(startedAt + 2_000);
+    expect(target?.coldUntil).toBe(startedAt + 2_000);
     await simulation.runFor(5_000);
     directory.report(entry('i', { sequence: 2, warmupMs: 0 }));
     directory.report(entry('i', { sequence: 3, warmupMs: 3_000 }));
-    expect(target?.warmUntil).toBe(startedAt + 8_000);
+    expect(target?.coldUntil).toBe(startedAt + 8_000);
   });
 });
--- a/test/gateway/split-chooser.test.ts
+++ b/test/gateway/split-chooser.test.ts
@@ -27,7 +27,7 @@
 }
 
 /** Share of the first service among `requests` that reach gateways by chance. */
-function shareOfFirst(
+function fractionOfFirst(
   fleet: readonly SplitChooser[],
   split: readonly SplitPart[],
   requests: number,
@@ -49,7 +49,12 @@
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 9 }), fc.nat(), (weight, seed) => {
         const [gateway] = createFleet(1, seed);
-        const share = shareOfFirst([gateway as SplitChooser], splitOf(weight, 10 - weight), 40, 1);
+        const share = fractionOfFirst(
+          [gateway as SplitChooser],
+          splitOf(weight, 10 - weight),
+          40,
+          1,
+        );
         expect(Math.abs(share - weight / 10)).toBeLessThan(0.03);
       }),
     );
@@ -62,7 +67,7 @@
       fc.property(sizes, weights, fc.nat({ max: 100 }), (gateways, pair, seed) => {
         const [first = 0, second = 0] = pair;
         const fleet = createFleet(gateways, seed);
-        const share = shareOfFirst(fleet, splitOf(first, second), 300, seed);
+        const share = fractionOfFirst(fleet, splitOf(first, second), 300, seed);
         expect(Math.abs(share - first / (first + second))).toBeLessThan(0.1);
       }),
       { seed: 5, numRuns: 300 },
--- a/test/policies/budgeted-retry-policy.test.ts
+++ b/test/policies/budgeted-retry-policy.test.ts
@@ -30,7 +30,7 @@
     const policy = createPolicy();
     let retries = 0;
     for (let primary = 0; primary < 1_000; primary += 1) {
-      policy.recordPrimary();
+      policy.recordFirstAttempt();
       if (policy.retryDelay(FAILED) !== undefined) retries += 1;
     }
     expect(retries).toBeGreaterThanOrEqual(100);
--- a/test/policies/quantile-hedge-policy.test.ts
+++ b/test/policies/quantile-hedge-policy.test.ts
@@ -8,9 +8,9 @@
 
 /** One first attempt that is hedged whenever the policy allows it; returns whether it was. */
 function runAttempt(policy: QuantileHedgePolicy, shardId: string, latency: number): boolean {
-  policy.recordPrimary();
+  policy.recordFirstAttempt();
   const delay = policy.hedgeDelay(shardId);
-  const isHedged = delay !== undefined && latency > delay && policy.takeBudget();
+  const isHedged = delay !== undefined && latency > delay && policy.tryTakeBudget();
   if (isHedged && delay !== undefined) policy.recordUnfinished(shardId, delay * 2);
   else policy.recordLatency(shardId, latency);
   return isHedged;
--- a/test/policies/team-queue.test.ts
+++ b/test/policies/team-queue.test.ts
@@ -9,7 +9,7 @@
 }
 
 function takeAll(queue: TeamQueue<string>): (string | undefined)[] {
-  return Array.from({ length: queue.size }, () => queue.takeNext());
+  return Array.from({ length: queue.size }, () => queue.dequeue());
 }
 
 describe('TeamQueue', () => {
@@ -19,15 +19,15 @@
 
   it('knows how many leave before a newcomer', () => {
     const queue = createQueue();
-    expect(queue.ahead('a')).toBe(6);
-    expect(queue.ahead('b')).toBe(5);
-    expect(queue.ahead('c')).toBe(2);
+    expect(queue.countAhead('a')).toBe(6);
+    expect(queue.countAhead('b')).toBe(5);
+    expect(queue.countAhead('c')).toBe(2);
   });
 
   it('makes room at the end of the longest', () => {
     const queue = createQueue();
-    expect(queue.takeLastOfLongest()).toBe('a4');
-    expect(queue.takeLastOfLongest()).toBe('a3');
+    expect(queue.removeNewestOfLongest()).toBe('a4');
+    expect(queue.removeNewestOfLongest()).toBe('a3');
     expect(queue.size).toBe(4);
   });
 
--- a/test/quarantine/abandoned-attempts.test.ts
+++ b/test/quarantine/abandoned-attempts.test.ts
@@ -10,7 +10,7 @@
 describe('abandoned attempts', () => {
   it('are what a replica may have worked on, once', () => {
     const abandoned = new AbandonedAttempts(new ManualClock());
-    abandoned.note('a', ATTEMPT, 1_000);
+    abandoned.record('a', ATTEMPT, 1_000);
     expect(abandoned.takeAll('b')).toEqual([]);
     expect(abandoned.takeAll('a')).toEqual([ATTEMPT]);
     expect(abandoned.takeAll('a')).toEqual([]);
@@ -19,8 +19,8 @@
   it('are not, once their time at the replica is over', () => {
     const clock = new ManualClock();
     const abandoned = new AbandonedAttempts(clock);
-    abandoned.note('a', ATTEMPT, 300);
-    abandoned.note('b', ATTEMPT, 1_000_000);
+    abandoned.record('a', ATTEMPT, 300);
+    abandoned.record('b', ATTEMPT, 1_000_000);
     clock.advance(400);
     expect(abandoned.takeAll('a')).toEqual([]);
     clock.advance(60_000);
@@ -29,7 +29,7 @@
 
   it('are remembered in a bounded number', () => {
     const abandoned = new AbandonedAttempts(new ManualClock());
-    for (let index = 0; index < 10_000; index += 1) abandoned.note('a', ATTEMPT, 1_000);
+    for (let index = 0; index < 10_000; index += 1) abandoned.record('a', ATTEMPT, 1_000);
     expect(abandoned.takeAll('a').length).toBeLessThan(100);
   });
 });
--- a/test/quarantine/crash-guard.test.ts
+++ b/test/quarantine/crash-guard.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it, vi } from 'vitest';
 import { DecisionLog } from '../../src/observability/decision-log.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
-import { Admission, CrashGuard } from '../../src/quarantine/crash-guard.js';
+import { CrashGuardDecision, CrashGuard } from '../../src/quarantine/crash-guard.js';
 import { QuarantineState, type QuarantineEntry } from '../../src/quarantine/quarantine-entry.js';
 import { TrialResult } from '../../src/quarantine/quarantine-metrics.js';
 import {
@@ -20,7 +20,11 @@
   readonly sent: QuarantineChange[];
 }
 
-function createGuard({ isOn = true, hasTrials = true, isFollowed = true } = {}): Parts {
+function createGuard({
+  isOn: isEnabled = true,
+  hasTrials: areTrialsEnabled = true,
+  isFollowed = true,
+} = {}): Parts {
   const clock = new ManualClock();
   const sent: QuarantineChange[] = [];
   const guard = new CrashGuard({
@@ -32,8 +36,8 @@
       if (isFollowed) sent.push(change);
       return isFollowed;
     },
-    isOn,
-    hasTrials,
+    isEnabled: isEnabled,
+    areTrialsEnabled: areTrialsEnabled,
   });
   return { guard, clock, sent };
 }
@@ -45,86 +49,86 @@
 describe('the guard against requests that crash replicas', () => {
   it('lets one sending at a time try a request under which a replica ended', () => {
     const { guard } = createGuard();
-    expect(guard.admit('f', nothing)).toBe(Admission.Free);
-    guard.noteEnded(REQUEST, 'a', false);
+    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Allowed);
+    guard.recordTermination(REQUEST, 'a', false);
     const woken = vi.fn();
-    expect(guard.admit('f', nothing)).toBe(Admission.Trial);
-    expect(guard.admit('f', woken)).toBe(Admission.Wait);
+    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Trial);
+    expect(guard.admit('f', woken)).toBe(CrashGuardDecision.Wait);
     guard.endTrial('f', TrialResult.Undecided);
     expect(woken).toHaveBeenCalledTimes(1);
-    expect(guard.admit('f', nothing)).toBe(Admission.Trial);
-    expect(guard.admit('other', nothing)).toBe(Admission.Free);
+    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Trial);
+    expect(guard.admit('other', nothing)).toBe(CrashGuardDecision.Allowed);
   });
 
   it('refuses it after two more ended in trials', () => {
     const { guard } = createGuard();
-    guard.noteEnded(REQUEST, 'a', false);
-    guard.noteEnded(REQUEST, 'b', true);
+    guard.recordTermination(REQUEST, 'a', false);
+    guard.recordTermination(REQUEST, 'b', true);
     expect(guard.isQuarantined('f')).toBe(false);
-    guard.noteEnded(REQUEST, 'c', true);
-    expect(guard.admit('f', nothing)).toBe(Admission.Refused);
+    guard.recordTermination(REQUEST, 'c', true);
+    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Refused);
   });
 
   it('holds nothing against a request that a replica answers, before or after', () => {
     const { guard, clock } = createGuard();
-    for (const replica of ['a', 'b', 'c', 'd']) guard.noteEnded(REQUEST, replica, true);
-    guard.noteAnswer('f');
+    for (const replica of ['a', 'b', 'c', 'd']) guard.recordTermination(REQUEST, replica, true);
+    guard.recordAnswer('f');
     expect(guard.stateOf('f')).toBe(QuarantineState.Observed);
-    for (const replica of ['e', 'g', 'h', 'i']) guard.noteEnded(REQUEST, replica, true);
+    for (const replica of ['e', 'g', 'h', 'i']) guard.recordTermination(REQUEST, replica, true);
     expect(guard.stateOf('f')).toBe(QuarantineState.Observed);
     clock.advance(10_000);
-    for (const replica of ['j', 'k', 'l']) guard.noteEnded(REQUEST, replica, true);
+    for (const replica of ['j', 'k', 'l']) guard.recordTermination(REQUEST, replica, true);
     expect(guard.isQuarantined('f')).toBe(true);
   });
 
   it('speaks for a request that it saw answered a moment ago', () => {
     const { guard, sent } = createGuard();
-    guard.noteAnswer('f');
-    guard.take(agreed(QuarantineState.Quarantined, 4));
+    guard.recordAnswer('f');
+    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
     expect(guard.isQuarantined('f')).toBe(false);
     expect(sent).toMatchObject([{ kind: QuarantineChangeKind.Answer, fingerprint: 'f' }]);
   });
 
   it('goes by the newest word of the controllers, whoever sends it', () => {
     const { guard } = createGuard();
-    guard.take(agreed(QuarantineState.Quarantined, 4));
+    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
     expect(guard.isQuarantined('f')).toBe(true);
-    guard.take(agreed(QuarantineState.Lifted, 5));
-    guard.take(agreed(QuarantineState.Quarantined, 4));
+    guard.applyEntry(agreed(QuarantineState.Lifted, 5));
+    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
     expect(guard.stateOf('f')).toBe(QuarantineState.Observed);
   });
 
   it('counts abandoned attempts when their replica is found lost', () => {
     const { guard } = createGuard();
-    guard.noteAbandoned('a', { request: REQUEST, isTrial: false }, 1_000);
-    guard.noteReplicaLost('b');
+    guard.recordAbandonedAttempt('a', { request: REQUEST, isTrial: false }, 1_000);
+    guard.recordReplicaLoss('b');
     expect(guard.isSuspected('f')).toBe(false);
-    guard.noteReplicaLost('a');
+    guard.recordReplicaLoss('a');
     expect(guard.isSuspected('f')).toBe(true);
   });
 
   it('lets everything pass when it is off', () => {
     const { guard } = createGuard({ isOn: false });
-    for (const replica of ['a', 'b', 'c', 'd']) guard.noteEnded(REQUEST, replica, true);
-    guard.take(agreed(QuarantineState.Quarantined, 4));
-    expect(guard.admit('f', nothing)).toBe(Admission.Free);
+    for (const replica of ['a', 'b', 'c', 'd']) guard.recordTermination(REQUEST, replica, true);
+    guard.applyEntry(agreed(QuarantineState.Quarantined, 4));
+    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Allowed);
   });
 
   it('refuses after three replicas when it makes no trials', () => {
     const { guard } = createGuard({ hasTrials: false });
-    for (const replica of ['a', 'b']) guard.noteEnded(REQUEST, replica, false);
-    expect(guard.admit('f', nothing)).toBe(Admission.Free);
-    guard.noteEnded(REQUEST, 'c', false);
-    expect(guard.admit('f', nothing)).toBe(Admission.Refused);
+    for (const replica of ['a', 'b']) guard.recordTermination(REQUEST, replica, false);
+    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Allowed);
+    guard.recordTermination(REQUEST, 'c', false);
+    expect(guard.admit('f', nothing)).toBe(CrashGuardDecision.Refused);
   });
 
   it('reports a bounded number of requests a second, trials and answers first', () => {
     const { guard, clock, sent } = createGuard();
     for (let index = 0; index < 5_000; index += 1) {
-      guard.noteEnded({ fingerprint: `f-${index}`, description: '' }, 'a', false);
+      guard.recordTermination({ fingerprint: `f-${index}`, description: '' }, 'a', false);
     }
     expect(sent).toEqual([]);
-    guard.noteEnded(REQUEST, 'a', true);
+    guard.recordTermination(REQUEST, 'a', true);
     expect(sent).toMatchObject([{ fingerprint: 'f', endedInTrial: ['a'] }]);
     clock.advance(1_000);
     expect(sent.length).toBeLessThanOrEqual(100);
--- a/test/quarantine/crashing-fleet.ts
+++ b/test/quarantine/crashing-fleet.ts
@@ -15,11 +15,11 @@
 /** Until a replica that crashed is back. Milliseconds. */
 const RESTART_MS = 2_500;
 /** In which what one gateway has seen is known at all of them. Milliseconds. */
-export const SPREAD_MS = 4_000;
+export const PROPAGATION_MS = 4_000;
 /** Replicas that a request may crash before it counts as the cause. */
 export const TOLERATED_CRASHES = 3;
 /** Sendings of callers that may reach replicas after that. */
-export const TOLERATED_RETRIES = 3;
+export const TOLERATED_LATE_REQUESTS = 3;
 
 /** One crash of a replica. */
 interface Crash {
@@ -51,7 +51,7 @@
   readonly crashes: Crash[] = [];
   /** Those that ended, and those that run, with what to add to their clocks for the simulation's time. */
   readonly replicas = new Map<ExchangeReplica, number>();
-  private readonly ended = new Set<ExchangeReplica>();
+  private readonly terminated = new Set<ExchangeReplica>();
   private calls = 0;
 
   private constructor(
@@ -70,7 +70,7 @@
         const zone = zones[copy % zones.length];
         const content = `${service} high`.padEnd(16, '.');
         const bornAt = options.keepsIds === true ? FIRST_BORN_AT : undefined;
-        fleet.adopt(await harness.addReplica(service, content, zone, bornAt));
+        fleet.configure(await harness.addReplica(service, content, zone, bornAt));
       }
     }
     await harness.putRoutes([options.route], options.tenants);
@@ -105,13 +105,13 @@
   }
 
   /** Sendings of callers that reached replicas so much later than the tolerated crashes. */
-  lateSendings(): ReadonlySet<string> {
+  lateRequests(): ReadonlySet<string> {
     const last = this.crashes[TOLERATED_CRASHES - 1];
     if (last === undefined) return new Set();
     const late = new Set<string>();
     for (const [{ runs }, offset] of this.replicas) {
       for (const { target, at, requestId } of runs) {
-        if (target === this.target && at + offset > last.at + SPREAD_MS) late.add(requestId);
+        if (target === this.target && at + offset > last.at + PROPAGATION_MS) late.add(requestId);
       }
     }
     return late;
@@ -119,18 +119,18 @@
 
   /** Replicas that have not ended. */
   running(): ExchangeReplica[] {
-    return [...this.replicas.keys()].filter((replica) => !this.ended.has(replica));
+    return [...this.replicas.keys()].filter((replica) => !this.terminated.has(replica));
   }
 
   /** Ends the running replicas for which it holds, whatever they do; they come back as others. */
-  endReplicas(holds: (replica: ExchangeReplica) => boolean): void {
+  terminateReplicas(holds: (replica: ExchangeReplica) => boolean): void {
     for (const replica of this.running()) {
-      if (holds(replica)) this.end(replica);
+      if (holds(replica)) this.terminate(replica);
     }
   }
 
   /** Lets a replica crash on the request, and come back as another one. */
-  private adopt(replica: ExchangeReplica): void {
+  private configure(replica: ExchangeReplica): void {
     replica.crashesOn = this.target;
     replica.dropsAbandoned = this.options.dropsAbandoned ?? true;
     replica.workMs = this.options.workMs ?? replica.workMs;
@@ -142,17 +142,17 @@
   private crash(replica: ExchangeReplica, { requestId }: ReplicaRun): void {
     const { replicaId } = replica.options;
     this.crashes.push({ requestId, replicaId, at: this.harness.simulation.now });
-    this.end(replica);
+    this.terminate(replica);
   }
 
-  private end(replica: ExchangeReplica): void {
+  private terminate(replica: ExchangeReplica): void {
     const { clock } = this.harness.group.operator.environment;
-    this.ended.add(replica);
+    this.terminated.add(replica);
     this.harness.machineOf(replica).crash();
     clock.setTimer(RESTART_MS, () => {
       const { bornAt } = replica.options;
       const nextBornAt = bornAt === undefined ? undefined : bornAt + RESTART_MS;
-      this.adopt(this.harness.restartReplica(replica, nextBornAt));
+      this.configure(this.harness.restartReplica(replica, nextBornAt));
     });
   }
 }
--- a/test/quarantine/crashing-request.test.ts
+++ b/test/quarantine/crashing-request.test.ts
@@ -13,7 +13,7 @@
 import { describe, expect, it } from 'vitest';
 import { SETTLE_MS } from '../control/automatic-group.js';
 import { textOf } from '../gateway/gateway-harness.js';
-import { CrashingFleet, TOLERATED_RETRIES } from './crashing-fleet.js';
+import { CrashingFleet, TOLERATED_LATE_REQUESTS } from './crashing-fleet.js';
 
 const SHARDS = ['shard-a', 'shard-b', 'shard-c', 'shard-d', 'shard-e', 'shard-f'];
 const FAN_OUT = { pathPrefix: '/q/', shards: SHARDS, topRecords: 3, requiredCoverage: 0.6 };
@@ -39,19 +39,19 @@
   it('to all shards reaches replicas a few times at most over all gateways', async () => {
     const fleet = await CrashingFleet.start('/q/crash', FAN_OUT_FLEET);
     await fleet.repeat(12, LONG_PAUSE_MS);
-    expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+    expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
   it('to one service reaches replicas a few times at most over all gateways', async () => {
     const fleet = await CrashingFleet.start('/one/crash', LOOK_UP_FLEET);
     await fleet.repeat(12, LONG_PAUSE_MS);
-    expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+    expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
   it('reaches replicas a few times at most also where they come back under their ids', async () => {
     const fleet = await CrashingFleet.start('/q/crash', { ...FAN_OUT_FLEET, keepsIds: true });
     await fleet.repeat(12, LONG_PAUSE_MS);
-    expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+    expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
   it('is known to a gateway that has just started', async () => {
@@ -63,7 +63,7 @@
       await fleet.harness.simulation.runFor(LONG_PAUSE_MS);
       await fleet.repeat(1, LONG_PAUSE_MS);
     }
-    expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+    expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
   it('is refused at once as not run, and reaches nobody after that', async () => {
@@ -93,7 +93,7 @@
       gateways: { others: 4, aggregation: { divideAbove: 3, shardsPerGroup: 2 } },
     });
     const statuses = await fleet.repeat(12, LONG_PAUSE_MS);
-    expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+    expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
     expect(statuses.slice(3).every((status) => status === 429)).toBe(true);
   });
 
@@ -103,7 +103,7 @@
       route: { ...LOOK_UP, execution: 'atMostOnce' },
     });
     await fleet.repeat(12, LONG_PAUSE_MS);
-    expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+    expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
     for (const { requestId } of fleet.crashes) {
       expect(fleet.crashes.filter((crash) => crash.requestId === requestId)).toHaveLength(1);
     }
@@ -123,7 +123,7 @@
       await fleet.harness.simulation.settle(sent.catch(() => undefined));
       await fleet.harness.simulation.runFor(LONG_PAUSE_MS);
     }
-    expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+    expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
   });
 
   it('is found out although each attempt was closed before its replica ended', async () => {
@@ -173,7 +173,7 @@
         await fleet.harness.simulation.settle(Promise.all(sent));
         await fleet.harness.simulation.runFor(LONG_PAUSE_MS);
       }
-      expect(fleet.lateSendings().size).toBeLessThanOrEqual(TOLERATED_RETRIES);
+      expect(fleet.lateRequests().size).toBeLessThanOrEqual(TOLERATED_LATE_REQUESTS);
       expect((await fleet.call({ path })).status).toBe(429);
     },
   );
--- a/test/quarantine/trial-grants.test.ts
+++ b/test/quarantine/trial-grants.test.ts
@@ -15,40 +15,40 @@
 function createGrants(isFollowed = true) {
   const clock = new ManualClock();
   const sent: QuarantineChange[] = [];
-  const onNews = vi.fn();
+  const onChange = vi.fn();
   const send = (change: QuarantineChange): boolean => {
     sent.push(change);
     return isFollowed;
   };
-  const grants = new TrialGrants({ clock, gateway: 'g', send, onNews });
-  return { grants, clock, sent, onNews };
+  const grants = new TrialGrants({ clock, gateway: 'g', send, onChange: onChange });
+  return { grants, clock, sent, onNews: onChange };
 }
 
 describe('permissions to try a request', () => {
   it('are asked for once, and used once', () => {
     const { grants, sent, onNews } = createGrants();
-    expect(grants.use(entry(''))).toBe(false);
-    expect(grants.use(entry(''))).toBe(false);
+    expect(grants.tryUse(entry(''))).toBe(false);
+    expect(grants.tryUse(entry(''))).toBe(false);
     expect(sent).toMatchObject([{ kind: QuarantineChangeKind.Trial, holder: 'g/1' }]);
-    grants.take(entry('g/1'));
+    grants.applyEntry(entry('g/1'));
     expect(onNews).toHaveBeenCalledTimes(1);
-    expect(grants.use(entry('g/1'))).toBe(true);
-    expect(grants.use(entry('g/1'))).toBe(false);
+    expect(grants.tryUse(entry('g/1'))).toBe(true);
+    expect(grants.tryUse(entry('g/1'))).toBe(false);
     grants.release('f');
     expect(sent.at(-1)).toMatchObject({ kind: QuarantineChangeKind.TrialEnd, holder: 'g/1' });
   });
 
   it('are asked for again when another holder has ended its trial', () => {
     const { grants, sent } = createGrants();
-    grants.use(entry('other/1'));
-    grants.take(entry(''));
+    grants.tryUse(entry('other/1'));
+    grants.applyEntry(entry(''));
     expect(sent).toHaveLength(2);
     expect(sent[1]).toMatchObject({ holder: 'g/1', replaces: '' });
   });
 
   it('replace a holder that is not heard of any more', () => {
     const { grants, clock, sent } = createGrants();
-    grants.use(entry('other/1'));
+    grants.tryUse(entry('other/1'));
     clock.advance(1_500);
     expect(sent).toHaveLength(1);
     clock.advance(1_500);
@@ -57,18 +57,18 @@
 
   it('are not needed where no controller answers, or can be asked', () => {
     const { grants, clock, onNews } = createGrants();
-    grants.use(entry(''));
+    grants.tryUse(entry(''));
     clock.advance(1_000);
     expect(onNews).toHaveBeenCalledTimes(1);
-    expect(grants.use(entry(''))).toBe(true);
-    expect(createGrants(false).grants.use(entry(''))).toBe(true);
+    expect(grants.tryUse(entry(''))).toBe(true);
+    expect(createGrants(false).grants.tryUse(entry(''))).toBe(true);
   });
 
   it('are given up when the trial hangs, so that others need not wait', () => {
     const { grants, clock, sent, onNews } = createGrants();
-    grants.use(entry(''));
-    grants.take(entry('g/1'));
-    grants.use(entry('g/1'));
+    grants.tryUse(entry(''));
+    grants.applyEntry(entry('g/1'));
+    grants.tryUse(entry('g/1'));
     clock.advance(10_000);
     expect(sent.at(-1)).toMatchObject({ kind: QuarantineChangeKind.TrialEnd, holder: 'g/1' });
     expect(onNews).toHaveBeenCalledTimes(2);
@@ -76,8 +76,8 @@
 
   it('are not waited for once the request is not to be tried any more', () => {
     const { grants, clock, onNews } = createGrants();
-    grants.use(entry(''));
-    grants.take(entry('', QuarantineState.Quarantined));
+    grants.tryUse(entry(''));
+    grants.applyEntry(entry('', QuarantineState.Quarantined));
     clock.advance(10_000);
     expect(onNews).not.toHaveBeenCalled();
   });
--- a/test/quarantine/innocent-requests.test.ts
+++ b/test/quarantine/uninvolved-requests.test.ts
@@ -88,7 +88,7 @@
     let ended = 0;
     for (let round = 0; round < 6; round += 1) {
       const statuses = sendFor(fleet, 300, () => '/q/popular');
-      fleet.endReplicas(() => {
+      fleet.terminateReplicas(() => {
         ended += 1;
         return ended % 3 === 0;
       });
@@ -108,7 +108,7 @@
     for (let round = 0; round < 3; round += 1) {
       const sent = paths.map((path) => fleet.send({ path }));
       await fleet.harness.simulation.runFor(10);
-      fleet.endReplicas((replica) => replica.options.zone === 'nayoro');
+      fleet.terminateReplicas((replica) => replica.options.zone === 'nayoro');
       const answers = await fleet.harness.simulation.settle(Promise.all(sent));
       expect(answers.map(({ status }) => status)).toEqual(paths.map(() => 200));
       await fleet.harness.simulation.runFor(BACK_MS);
@@ -120,7 +120,7 @@
     for (let round = 0; round < 3; round += 1) {
       const sent = fleet.send({ path: '/q/same' });
       await fleet.harness.simulation.runFor(15);
-      fleet.endReplicas(() => true);
+      fleet.terminateReplicas(() => true);
       await fleet.harness.simulation.settle(sent);
       await fleet.harness.simulation.runFor(BACK_MS);
       expect((await fleet.call({ path: '/q/same' })).status).toBe(200);
@@ -133,7 +133,7 @@
     for (const address of [...released].slice(0, 8)) {
       const sent = Array.from({ length: 6 }, () => fleet.send({ path: '/q/same' }));
       await fleet.harness.simulation.runFor(10);
-      fleet.endReplicas((replica) => replica.options.address === address);
+      fleet.terminateReplicas((replica) => replica.options.address === address);
       const answers = await fleet.harness.simulation.settle(Promise.all(sent));
       expect(answers.map(({ status }) => status)).toEqual(sent.map(() => 200));
       await fleet.harness.simulation.runFor(BACK_MS);
@@ -147,7 +147,7 @@
       await fleet.harness.simulation.runFor(10);
       const busy = fleet.running().filter(({ runs }) => runs.length > 0);
       await fleet.harness.simulation.settle(Promise.all(busy.map((replica) => replica.drain())));
-      fleet.endReplicas((replica) => busy.includes(replica));
+      fleet.terminateReplicas((replica) => busy.includes(replica));
       expect((await fleet.harness.simulation.settle(sent)).status).not.toBe(QUARANTINED);
       await fleet.harness.simulation.runFor(BACK_MS);
     }
@@ -161,7 +161,7 @@
     const [hanging] = fleet.running();
     const sent = fleet.send({ path: '/q/same' });
     await fleet.harness.simulation.runFor(10);
-    fleet.endReplicas((replica) => replica !== hanging && replica.runs.length > 0);
+    fleet.terminateReplicas((replica) => replica !== hanging && replica.runs.length > 0);
     if (hanging !== undefined) hanging.workMs = 10_000;
     await fleet.harness.simulation.settle(sent);
     const statuses = await statusesOf(fleet, Array<string>(8).fill('/q/same'));
--- a/test/router/at-most-once.test.ts
+++ b/test/router/at-most-once.test.ts
@@ -3,7 +3,7 @@
 import type { FakeBackend } from './support/fake-backend.js';
 import { RouterHarness } from './support/router-harness.js';
 
-const ONCE = { repeatable: false };
+const NOT_REPEATABLE = { repeatable: false };
 
 function loseReplies(backend: FakeBackend): void {
   backend.tamper = (draft) => {
@@ -21,7 +21,7 @@
   return harness.attempts.filter(({ started }) => started).length;
 }
 
-async function startLosing(faults = {}): Promise<RouterHarness> {
+async function startLosingReplies(faults = {}): Promise<RouterHarness> {
   const harness = await RouterHarness.start({ shards: 1, faults });
   for (const backend of harness.backends.values()) loseReplies(backend);
   return harness;
@@ -29,16 +29,16 @@
 
 describe('a not repeatable request', () => {
   it('is not sent again once it may have been run', async () => {
-    const harness = await startLosing();
-    const { status, error } = await harness.query(ONCE);
+    const harness = await startLosingReplies();
+    const { status, error } = await harness.query(NOT_REPEATABLE);
     expect(status).toBe(504);
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
     expect(startedCount(harness)).toBe(1);
   });
 
   it('is seen to be run twice when it is treated as repeatable', async () => {
-    const harness = await startLosing({ retryNotRepeatable: true });
-    await harness.query(ONCE);
+    const harness = await startLosingReplies({ retryNotRepeatable: true });
+    await harness.query(NOT_REPEATABLE);
     expect(startedCount(harness)).toBeGreaterThan(1);
   });
 
@@ -53,7 +53,7 @@
         else draft.error = new HttpClientError('connection_lost', true, backend.address);
       };
     }
-    expect((await harness.query(ONCE)).error.code).toBe('outcome_unknown');
+    expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('outcome_unknown');
     expect(harness.attempts).toHaveLength(2);
   });
 
@@ -62,7 +62,7 @@
     shed(harness.backend('s0-r0'));
     harness.backend('s0-r1').down = true;
     for (const number of [1, 2, 3, 4]) {
-      const { status } = await harness.query({ ...ONCE, requestId: `request-${number}` });
+      const { status } = await harness.query({ ...NOT_REPEATABLE, requestId: `request-${number}` });
       expect(status).toBe(200);
     }
     expect(startedCount(harness)).toBe(4);
@@ -70,58 +70,61 @@
 
   it('gets a connection that has carried nothing before', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
-    await harness.query(ONCE);
+    await harness.query(NOT_REPEATABLE);
     await harness.query({ requestId: 'request-2' });
-    expect(harness.backend('s0-r0').ledger.map(({ fresh }) => fresh)).toEqual([true, false]);
+    expect(harness.backend('s0-r0').attempts.map(({ fresh }) => fresh)).toEqual([true, false]);
   });
 });
 
 describe('a resend of a not repeatable request', () => {
   it('joins the first while it runs, and gets its outcome afterwards', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
-    const both = [harness.send(ONCE), harness.send({ ...ONCE, deadlineMs: 500 })] as const;
+    const both = [
+      harness.send(NOT_REPEATABLE),
+      harness.send({ ...NOT_REPEATABLE, deadlineMs: 500 }),
+    ] as const;
     const [first, second] = await harness.clock.runUntil(Promise.all(both));
     expect(second.answer).toEqual(first.answer);
-    expect((await harness.query(ONCE)).answer).toEqual(first.answer);
+    expect((await harness.query(NOT_REPEATABLE)).answer).toEqual(first.answer);
     expect(startedCount(harness)).toBe(1);
   });
 
   it('is answered before its own deadline when the first takes longer', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     for (const backend of harness.backends.values()) backend.latency = 800;
-    const first = harness.send(ONCE);
+    const first = harness.send(NOT_REPEATABLE);
     const before = harness.clock.now();
-    const resend = await harness.query({ ...ONCE, deadlineMs: 100 });
+    const resend = await harness.query({ ...NOT_REPEATABLE, deadlineMs: 100 });
     expect(harness.clock.now() - before).toBeLessThan(100);
     expect(resend.error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
     const { answer } = await harness.clock.runUntil(first);
-    expect((await harness.query(ONCE)).answer).toEqual(answer);
+    expect((await harness.query(NOT_REPEATABLE)).answer).toEqual(answer);
     expect(startedCount(harness)).toBe(1);
   });
 
   it('learns the outcome of a first try whose caller went away', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const gone = new AbortController();
-    const first = harness.send(ONCE, gone.signal);
+    const first = harness.send(NOT_REPEATABLE, gone.signal);
     gone.abort();
     await harness.clock.runUntil(first);
-    expect((await harness.query(ONCE)).status).toBe(200);
+    expect((await harness.query(NOT_REPEATABLE)).status).toBe(200);
     expect(startedCount(harness)).toBe(1);
   });
 
   it('gets an unknown outcome again, without being run', async () => {
-    const harness = await startLosing();
-    await harness.query(ONCE);
-    expect((await harness.query(ONCE)).error.code).toBe('outcome_unknown');
+    const harness = await startLosingReplies();
+    await harness.query(NOT_REPEATABLE);
+    expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('outcome_unknown');
     expect(startedCount(harness)).toBe(1);
   });
 
   it('is not run when its outcome is no longer kept', async () => {
     const limits = { maximumRecordedOutcomes: 1 };
     const harness = await RouterHarness.start({ shards: 1, limits });
-    await harness.query(ONCE);
-    await harness.query({ ...ONCE, requestId: 'request-2' });
-    const { error } = await harness.query(ONCE);
+    await harness.query(NOT_REPEATABLE);
+    await harness.query({ ...NOT_REPEATABLE, requestId: 'request-2' });
+    const { error } = await harness.query(NOT_REPEATABLE);
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
     expect(startedCount(harness)).toBe(2);
   });
@@ -129,15 +132,15 @@
   it('is run when the first was refused as not run', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     harness.backend('s0-r0').down = true;
-    expect((await harness.query(ONCE)).error.code).toBe('refused_not_run');
+    expect((await harness.query(NOT_REPEATABLE)).error.code).toBe('refused_not_run');
     harness.backend('s0-r0').down = false;
-    expect((await harness.query(ONCE)).status).toBe(200);
+    expect((await harness.query(NOT_REPEATABLE)).status).toBe(200);
   });
 
   it('with another body is a bad request', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
-    await harness.query(ONCE);
-    for (const other of [{ ...ONCE, query: 'other' }, { repeatable: true }]) {
+    await harness.query(NOT_REPEATABLE);
+    for (const other of [{ ...NOT_REPEATABLE, query: 'other' }, { repeatable: true }]) {
       const { status, error } = await harness.query(other);
       expect(status).toBe(400);
       expect(error).toMatchObject({ code: 'bad_request', path: 'requestId' });
@@ -147,8 +150,8 @@
 
   it('marked as one is not run by a router that does not know the first', async () => {
     const [harness, other] = [await RouterHarness.start(), await RouterHarness.start()];
-    const { answer } = await harness.query(ONCE);
-    const resend = { ...ONCE, resend: true };
+    const { answer } = await harness.query(NOT_REPEATABLE);
+    const resend = { ...NOT_REPEATABLE, resend: true };
     const { status, error } = await other.query(resend);
     expect(status).toBe(504);
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
@@ -161,13 +164,13 @@
     const limits = { maximumRecordedOutcomes: 1 };
     const harness = await RouterHarness.start({ shards: 1, limits });
     for (let number = 1; number <= 10; number += 1) {
-      await harness.query({ ...ONCE, requestId: `request-${number}` });
+      await harness.query({ ...NOT_REPEATABLE, requestId: `request-${number}` });
     }
-    const { error, headers } = await harness.query({ ...ONCE, requestId: 'request-11' });
+    const { error, headers } = await harness.query({ ...NOT_REPEATABLE, requestId: 'request-11' });
     expect(error.code).toBe('refused_not_run');
     expect(Number(headers['retry-after'])).toBeGreaterThan(3_000);
     await harness.clock.advance(3_600_000);
-    expect((await harness.query({ ...ONCE, requestId: 'request-11' })).status).toBe(200);
+    expect((await harness.query({ ...NOT_REPEATABLE, requestId: 'request-11' })).status).toBe(200);
   });
 });
 
@@ -201,7 +204,7 @@
   });
 
   it('is seen to be false when it is claimed after sending', async () => {
-    const harness = await startLosing({ claimNotRunAfterSending: true });
+    const harness = await startLosingReplies({ claimNotRunAfterSending: true });
     expect((await harness.query()).error.code).toBe('refused_not_run');
     expect(startedCount(harness)).toBeGreaterThan(0);
   });
--- a/test/router/bad-input.test.ts
+++ b/test/router/bad-input.test.ts
@@ -6,8 +6,8 @@
 const PATH = `/v1/services/${SERVICE}/query`;
 const RUN = { seed: 20_261_202, numRuns: 300 };
 /** The back ends of the harness take 1 ms. */
-const SHORT_DEADLINE = 2;
-const GOOD = { requestId: 'request-1', query: { term: 'snow' } };
+const SHORT_DEADLINE_MS = 2;
+const VALID_REQUEST = { requestId: 'request-1', query: { term: 'snow' } };
 
 async function postText(harness: RouterHarness, text: string | Uint8Array, path = PATH) {
   const response = await harness.clock.runUntil(harness.post(path, Buffer.from(text)));
@@ -15,27 +15,33 @@
   return { status: response.status, error: body.error };
 }
 
-async function seriesOf(harness: RouterHarness): Promise<number> {
+async function countMetricSeries(harness: RouterHarness): Promise<number> {
   const metrics = await harness.metrics.getMetricsAsJSON();
   return metrics.reduce((count, { values }) => count + values.length, 0);
 }
 
 describe('a request that is wrong', () => {
   const wrong: Readonly<Record<string, [string, string | undefined]>> = {
-    'an unknown key': [JSON.stringify({ ...GOOD, dedline: 5 }), undefined],
+    'an unknown key': [JSON.stringify({ ...VALID_REQUEST, dedline: 5 }), undefined],
     'a key that means the prototype': [
-      `{"__proto__":{},${JSON.stringify(GOOD).slice(1)}`,
+      `{"__proto__":{},${JSON.stringify(VALID_REQUEST).slice(1)}`,
       undefined,
     ],
     'no query': [JSON.stringify({ requestId: 'request-1' }), 'query'],
     'no request id': [JSON.stringify({ query: 1 }), 'requestId'],
-    'a request id with a line break': [JSON.stringify({ ...GOOD, requestId: 'a\nb' }), 'requestId'],
-    'a deadline of 0': [JSON.stringify({ ...GOOD, deadlineMs: 0 }), 'deadlineMs'],
-    'a deadline below 0': [JSON.stringify({ ...GOOD, deadlineMs: -5 }), 'deadlineMs'],
-    'a deadline of days': [JSON.stringify({ ...GOOD, deadlineMs: 1e9 }), 'deadlineMs'],
+    'a request id with a line break': [
+      JSON.stringify({ ...VALID_REQUEST, requestId: 'a\nb' }),
+      'requestId',
+    ],
+    'a deadline of 0': [JSON.stringify({ ...VALID_REQUEST, deadlineMs: 0 }), 'deadlineMs'],
+    'a deadline below 0': [JSON.stringify({ ...VALID_REQUEST, deadlineMs: -5 }), 'deadlineMs'],
+    'a deadline of days': [JSON.stringify({ ...VALID_REQUEST, deadlineMs: 1e9 }), 'deadlineMs'],
     'an endless deadline': ['{"requestId":"request-1","query":1,"deadlineMs":1e999}', 'deadlineMs'],
-    'a deadline in words': [JSON.stringify({ ...GOOD, deadlineMs: 'soon' }), 'deadlineMs'],
-    'a coverage above 1': [JSON.stringify({ ...GOOD, requiredCoverage: 1.1 }), 'requiredCoverage'],
+    'a deadline in words': [JSON.stringify({ ...VALID_REQUEST, deadlineMs: 'soon' }), 'deadlineMs'],
+    'a coverage above 1': [
+      JSON.stringify({ ...VALID_REQUEST, requiredCoverage: 1.1 }),
+      'requiredCoverage',
+    ],
     'a query nested too deeply': [
       `{"requestId":"request-1","query":${'['.repeat(200_000)}${']'.repeat(200_000)}}`,
       'query',
@@ -45,7 +51,7 @@
       `{"requestId":"request-1","query":-${'9'.repeat(400)}}`,
       'query',
     ],
-    'half a body': [JSON.stringify(GOOD).slice(0, -3), undefined],
+    'half a body': [JSON.stringify(VALID_REQUEST).slice(0, -3), undefined],
     'an array': ['[]', undefined],
     nothing: ['', undefined],
   };
@@ -63,7 +69,7 @@
 
   it('for a service, a path or a method that does not exist is told so', async () => {
     const harness = await RouterHarness.start();
-    const text = JSON.stringify(GOOD);
+    const text = JSON.stringify(VALID_REQUEST);
     const unknown = await postText(harness, text, '/v1/services/no-such-service/query');
     expect(unknown).toMatchObject({ status: 404, error: { code: 'bad_request', path: 'service' } });
     expect((await postText(harness, text, '/v1/nowhere')).status).toBe(404);
@@ -75,13 +81,13 @@
   it('adds no series to the counters, whatever service it names', async () => {
     const harness = await RouterHarness.start();
     const ask = (name: string): Promise<unknown> =>
-      postText(harness, JSON.stringify(GOOD), `/v1/services/${name}/query`);
+      postText(harness, JSON.stringify(VALID_REQUEST), `/v1/services/${name}/query`);
     await ask('unknown-0');
-    const before = await seriesOf(harness);
+    const before = await countMetricSeries(harness);
     for (let number = 1; number <= 50; number += 1) await ask(`unknown-${number}`);
     await ask('constructor');
     await ask('__proto__');
-    expect(await seriesOf(harness)).toBe(before);
+    expect(await countMetricSeries(harness)).toBe(before);
   });
 
   it('may be any bytes', async () => {
@@ -117,7 +123,7 @@
       if (status === 200) return;
       if (status === 504) {
         expect(error.mayHaveRun).toBe(true);
-        expect(content.deadlineMs).toBeLessThan(SHORT_DEADLINE);
+        expect(content.deadlineMs).toBeLessThan(SHORT_DEADLINE_MS);
         return;
       }
       expect(['bad_request', 'refused_not_run']).toContain(error.code);
--- a/test/router/failures-together.test.ts
+++ b/test/router/concurrent-failures.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
 import type { RouterFaults } from '../../src/router/router-faults.js';
-import { findBrokenPromises } from './support/broken-promises.js';
+import { findGuaranteeViolations } from './support/guarantee-violations.js';
 import { RouterHarness } from './support/router-harness.js';
 import { FailureRun } from './support/failure-run.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
 /** The promise that each switch breaks. */
-const SWITCHES: Readonly<Partial<Record<keyof RouterFaults, string>>> = {
+const VIOLATED_GUARANTEES: Readonly<Partial<Record<keyof RouterFaults, string>>> = {
   mergeAcrossSnapshots: 'mixedSnapshot',
   skipReplyMatching: 'foreignReply',
   claimUnreachedShard: 'falseCoverage',
@@ -43,7 +43,7 @@
     harness.backend('s0-r0').crash();
     const { error } = await harness.clock.runUntil(query);
     expect(error).toMatchObject({ code: 'outcome_unknown', mayHaveRun: true });
-    expect(harness.backend('s0-r1').ledger).toHaveLength(0);
+    expect(harness.backend('s0-r1').attempts).toHaveLength(0);
     const resend = await harness.query({ repeatable: false });
     expect(resend.error.code).toBe('outcome_unknown');
     expect(harness.attempts).toHaveLength(1);
@@ -78,28 +78,28 @@
     const cut = [harness.backend('s0-r0'), harness.backend('s1-r0')];
     for (const backend of cut) {
       backend.latency = Infinity;
-      backend.silent = true;
+      backend.dropsReports = true;
     }
     harness.source.fresh = false;
     const draining = harness.backend('s0-r1');
     draining.draining = true;
     await harness.clock.advance(6_000);
-    const before = draining.ledger.length;
+    const before = draining.attempts.length;
     for (let number = 0; number < 6; number += 1) {
       const { status, answer } = await harness.query({ requestId: `request-${number}` });
       expect(status).toBe(200);
       expect(answer.coverage.reached).toEqual(['shard-1']);
       expect(answer.coverage.missing).toEqual([{ shardId: 'shard-0', reason: 'deadline' }]);
     }
-    expect(draining.ledger).toHaveLength(before);
+    expect(draining.attempts).toHaveLength(before);
     for (const backend of cut) {
       backend.latency = 1;
-      backend.silent = false;
+      backend.dropsReports = false;
     }
     await harness.clock.advance(2_000);
     const { answer } = await harness.query({ requestId: 'request-7' });
     expect(answer.coverage.reached).toEqual(['shard-0', 'shard-1']);
-    expect(draining.ledger).toHaveLength(before);
+    expect(draining.attempts).toHaveLength(before);
   });
 });
 
@@ -112,12 +112,12 @@
   for (const seed of SEEDS) {
     it(`break no promise (seed ${seed})`, async () => {
       const run = await FailureRun.run(seed);
-      expect(findBrokenPromises(run)).toEqual({});
+      expect(findGuaranteeViolations(run)).toEqual({});
       const outcomes = run.queries.map(({ reply }) => reply.error?.code ?? 'answered');
       for (const outcome of ['answered', 'refused_not_run', 'outcome_unknown']) {
         expect(outcomes).toContain(outcome);
       }
-      expect(run.leavings.length).toBeGreaterThan(0);
+      expect(run.departures.length).toBeGreaterThan(0);
     });
   }
 
@@ -126,12 +126,12 @@
     expect(Math.max(...runs.map(countHedges))).toBeGreaterThan(0);
   });
 
-  for (const [name, promise] of Object.entries(SWITCHES)) {
+  for (const [name, promise] of Object.entries(VIOLATED_GUARANTEES)) {
     it(`are seen to break "${promise}" with ${name}`, async () => {
       const broken = await Promise.all(
         SEEDS.slice(0, 3).map(async (seed) => {
           const run = await FailureRun.run(seed, { [name]: true });
-          return findBrokenPromises(run)[promise] ?? 0;
+          return findGuaranteeViolations(run)[promise] ?? 0;
         }),
       );
       expect(Math.max(...broken)).toBeGreaterThan(0);
--- a/test/router/deadlines.test.ts
+++ b/test/router/deadlines.test.ts
@@ -5,12 +5,12 @@
   it('reach the back ends as the time left', async () => {
     const harness = await RouterHarness.start({ shards: 1, replicas: 1 });
     harness.backend('s0-r0').tamper = (draft, entry) => {
-      if (harness.backend('s0-r0').ledger[0] !== entry) return;
+      if (harness.backend('s0-r0').attempts[0] !== entry) return;
       draft.latency = 50;
       draft.disposition = 'not_started';
     };
     await harness.query({ deadlineMs: 200 });
-    const [first, second] = harness.backend('s0-r0').ledger;
+    const [first, second] = harness.backend('s0-r0').attempts;
     expect(first?.deadlineMs).toBe(195);
     expect(second?.deadlineMs).toBeGreaterThan(0);
     expect(second?.deadlineMs).toBeLessThanOrEqual(145);
@@ -24,7 +24,7 @@
     expect(harness.clock.now() - sentAt).toBeLessThan(300);
     expect(status).toBe(200);
     expect(answer.coverage.missing).toEqual([{ shardId: 'shard-1', reason: 'deadline' }]);
-    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).ledger);
+    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).attempts);
     expect(stuck.map(({ cancelled }) => cancelled)).toEqual([true]);
   });
 
@@ -33,7 +33,7 @@
     const harness = await RouterHarness.start({ shards: 1, replicas: 1, settings });
     await harness.query({ deadlineMs: 600_000 });
     await harness.query();
-    const deadlines = harness.backend('s0-r0').ledger.map(({ deadlineMs }) => deadlineMs);
+    const deadlines = harness.backend('s0-r0').attempts.map(({ deadlineMs }) => deadlineMs);
     expect(deadlines).toEqual([395, 95]);
   });
 
@@ -64,7 +64,7 @@
     expect(status).toBe(503);
     expect(headers['retry-after']).toBe('1');
     expect(harness.clock.now() - sentAt).toBeLessThan(100);
-    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).ledger);
+    const stuck = ['s1-r0', 's1-r1'].flatMap((replica) => harness.backend(replica).attempts);
     expect(stuck.every(({ cancelled }) => cancelled)).toBe(true);
   });
 
@@ -107,11 +107,11 @@
     const backend = harness.backend('s0-r0');
     backend.bytesAtOnce = 900;
     backend.tamper = (draft) => {
-      if (backend.ledger.length < 6) draft.disposition = 'failed';
+      if (backend.attempts.length < 6) draft.disposition = 'failed';
     };
     const { status } = await harness.query();
     expect(status).toBe(200);
-    expect(backend.ledger).toHaveLength(6);
+    expect(backend.attempts).toHaveLength(6);
   });
 });
 
@@ -126,7 +126,7 @@
     gone.abort();
     await harness.clock.runUntil(query);
     expect(harness.clock.now()).toBe(before);
-    const ledger = [...harness.backends.values()].flatMap((backend) => backend.ledger);
+    const ledger = [...harness.backends.values()].flatMap((backend) => backend.attempts);
     expect(ledger).toHaveLength(2);
     expect(ledger.every(({ cancelled }) => cancelled)).toBe(true);
   });
@@ -141,7 +141,7 @@
       harness.send({ requestId: `request-${index}` }),
     );
     await harness.clock.advance(5);
-    expect(backend.ledger).toHaveLength(1);
+    expect(backend.attempts).toHaveLength(1);
     const replies = await harness.clock.runUntil(Promise.all(queries));
     expect(replies.map(({ status }) => status)).toEqual(Array<number>(6).fill(200));
   });
--- a/test/router/membership.test.ts
+++ b/test/router/membership.test.ts
@@ -3,11 +3,11 @@
 import { createLayout, createState, RouterHarness, type Reply } from './support/router-harness.js';
 
 /** Connections of which one router's share is one attempt at a time. */
-const ONE_AT_A_TIME = 16;
+const CONNECTIONS_FOR_ONE_ATTEMPT = 16;
 
-function tellGone(harness: RouterHarness): void {
+function publishGone(harness: RouterHarness): void {
   const replicaId = 's0-r0';
-  harness.source.tellSign({ replicaId, incarnation: 1, state: 'gone', observedBy: 'platform' });
+  harness.source.publishSign({ replicaId, incarnation: 1, state: 'gone', observedBy: 'platform' });
 }
 
 describe('attempts that wait for a connection', () => {
@@ -15,7 +15,7 @@
     const harness = await RouterHarness.start({
       shards: 1,
       replicas: 1,
-      connections: ONE_AT_A_TIME,
+      connections: CONNECTIONS_FOR_ONE_ATTEMPT,
     });
     const backend = harness.backend('s0-r0');
     backend.latency = 20;
@@ -24,7 +24,7 @@
       harness.send({ requestId: `request-${number}`, deadlineMs: 10_000 }),
     );
     await harness.clock.advance(10);
-    expect(harness.backend('s0-r0').ledger).toHaveLength(1);
+    expect(harness.backend('s0-r0').attempts).toHaveLength(1);
     return { harness, queries };
   }
 
@@ -44,7 +44,7 @@
     const warnings: string[] = [];
     const onWarning = ({ name }: Error): void => void warnings.push(name);
     process.on('warning', onWarning);
-    const options = { shards: 24, replicas: 1, connections: ONE_AT_A_TIME };
+    const options = { shards: 24, replicas: 1, connections: CONNECTIONS_FOR_ONE_ATTEMPT };
     const harness = await RouterHarness.start(options);
     for (const backend of harness.backends.values()) backend.latency = 20;
     const queries = [1, 2].map((number) => harness.send({ requestId: `request-${number}` }));
@@ -58,7 +58,7 @@
   it('all end at once when another source says that the replica is gone', async () => {
     const { harness, queries } = await startWaiting('false');
     const before = harness.clock.now();
-    tellGone(harness);
+    publishGone(harness);
     const waiting = await harness.clock.runUntil(Promise.all(queries.slice(1)));
     expect(codesOf(waiting)).toEqual(['refused_not_run', 'refused_not_run']);
     expect(harness.clock.now()).toBe(before);
@@ -76,10 +76,10 @@
       harness.send({ requestId: `request-${index}` }),
     );
     await harness.clock.advance(20);
-    for (const backend of harness.backends.values()) expect(backend.ledger).toHaveLength(5);
+    for (const backend of harness.backends.values()) expect(backend.attempts).toHaveLength(5);
     const replies = await harness.clock.runUntil(Promise.all(queries));
     expect(replies.every(({ status }) => status === 200)).toBe(true);
-    for (const { ledger } of harness.backends.values()) {
+    for (const { attempts: ledger } of harness.backends.values()) {
       const atOnce = ledger.map(({ at }) => ledger.filter((other) => other.at === at).length);
       expect(Math.max(...atOnce)).toBeLessThanOrEqual(5);
     }
@@ -117,7 +117,7 @@
   it('does not come back to life by being taken out of the configuration and in again', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const { source } = harness;
-    tellGone(harness);
+    publishGone(harness);
     const whole = createLayout(1, { shards: 1 });
     const without = createLayout(1, { shards: 1, replicas: 1 });
     const [shard] = without.shards;
@@ -130,8 +130,8 @@
     for (let number = 0; number < 8; number += 1) {
       await harness.query({ requestId: `request-${number}` });
     }
-    expect(harness.backend('s0-r0').ledger).toHaveLength(0);
-    expect(harness.backend('s0-r1').ledger).toHaveLength(8);
+    expect(harness.backend('s0-r0').attempts).toHaveLength(0);
+    expect(harness.backend('s0-r1').attempts).toHaveLength(8);
   });
 });
 
@@ -139,13 +139,13 @@
   it('gets no new work 3 s after the first report it missed, while a sibling reports', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const backend = harness.backend('s0-r0');
-    backend.silent = true;
+    backend.dropsReports = true;
     const longestUntilFirstMiss = 600 + 800;
     await harness.clock.advance(longestUntilFirstMiss + 3_000);
-    const before = backend.ledger.length;
+    const before = backend.attempts.length;
     for (let number = 0; number < 16; number += 1) {
       await harness.query({ requestId: `request-${number}` });
     }
-    expect(backend.ledger).toHaveLength(before);
+    expect(backend.attempts).toHaveLength(before);
   });
 });
--- a/test/router/planned-stop.test.ts
+++ b/test/router/planned-stop.test.ts
@@ -66,7 +66,7 @@
       (harness) => {
         for (const backend of harness.backends.values()) {
           backend.tamper = (draft) => {
-            if (backend.ledger.length === 1) draft.disposition = 'failed';
+            if (backend.attempts.length === 1) draft.disposition = 'failed';
           };
         }
       },
--- a/test/router/shard-execution.test.ts
+++ b/test/router/shard-execution.test.ts
@@ -22,12 +22,12 @@
 import { createLayout, createState, SERVICE } from './support/router-harness.js';
 import { VirtualClock } from './support/virtual-clock.js';
 
-const HEDGE_DELAY = 20;
+const HEDGE_DELAY_MS = 20;
 /** Node warns of more than ten listeners on one signal unless told of them. */
 const SHARDS_BEYOND_DEFAULT_LISTENERS = 12;
 
 /** One execution over fake back ends, with policies that a test writes itself. */
-class Bench {
+class ExecutionHarness {
   readonly clock = new VirtualClock();
   readonly tally = new AttemptTally();
   readonly backends: FakeBackend[] = [];
@@ -35,8 +35,8 @@
   /** Milliseconds to wait once coverage suffices. */
   furtherWait = Infinity;
   /** What the completion policy was told. Milliseconds. */
-  readonly replies: number[] = [];
-  readonly unfinished: number[] = [];
+  readonly recordedReplies: number[] = [];
+  readonly recordedUnfinished: number[] = [];
   readonly registry: ReplicaRegistry;
   private readonly router: RouterContext;
   private readonly service: ServiceRuntime;
@@ -95,26 +95,26 @@
       ...standard,
       replicaSelector: { select: ([first]) => first },
       hedge: {
-        recordPrimary: () => undefined,
+        recordFirstAttempt: () => undefined,
         recordLatency: () => undefined,
         recordUnfinished: () => undefined,
-        hedgeDelay: () => HEDGE_DELAY,
-        takeBudget: () => (this.hedgesLeft -= 1) >= 0,
+        hedgeDelay: () => HEDGE_DELAY_MS,
+        tryTakeBudget: () => (this.hedgesLeft -= 1) >= 0,
       },
       completion: {
-        recordReply: (sinceAsked) => this.replies.push(sinceAsked),
-        recordUnfinished: (sinceAsked) => this.unfinished.push(sinceAsked),
+        recordReply: (sinceAsked) => this.recordedReplies.push(sinceAsked),
+        recordUnfinished: (sinceAsked) => this.recordedUnfinished.push(sinceAsked),
         furtherWait: () => this.furtherWait,
       },
     };
   }
 }
 
-function ledgerSizes(bench: Bench): number[] {
-  return bench.backends.map(({ ledger }) => ledger.length);
+function ledgerSizes(bench: ExecutionHarness): number[] {
+  return bench.backends.map(({ attempts: ledger }) => ledger.length);
 }
 
-function firstBackend(bench: Bench): FakeBackend {
+function firstBackend(bench: ExecutionHarness): FakeBackend {
   const [first] = bench.backends;
   if (first === undefined) throw new Error('no back end');
   return first;
@@ -122,32 +122,32 @@
 
 describe('a hedge', () => {
   it('goes to a sibling after the delay; the loser is cancelled at once', async () => {
-    const bench = new Bench(2);
+    const bench = new ExecutionHarness(2);
     firstBackend(bench).latency = Infinity;
     for (const backend of bench.backends.slice(2)) backend.latency = 100;
     const { sufficient } = await bench.run();
     expect(sufficient).toBe(true);
     expect(bench.tally).toMatchObject({ primary: 2, hedges: 1, retries: 0 });
     expect(ledgerSizes(bench)).toEqual([1, 1, 1, 0]);
-    expect(bench.backends[1]?.ledger[0]?.at).toBe(50 + HEDGE_DELAY);
-    expect(firstBackend(bench).ledger[0]?.cancelledAt).toBe(50 + HEDGE_DELAY + 1);
+    expect(bench.backends[1]?.attempts[0]?.at).toBe(50 + HEDGE_DELAY_MS);
+    expect(firstBackend(bench).attempts[0]?.cancelledAt).toBe(50 + HEDGE_DELAY_MS + 1);
   });
 
   it('leaves the loser known to take at least as long as it was waited for', async () => {
-    const bench = new Bench(1);
+    const bench = new ExecutionHarness(1);
     const slow = firstBackend(bench);
     slow.latency = Infinity;
     await bench.run();
     const record = bench.registry.get(slow.replicaId);
-    expect(record?.smoothedLatency).toBe(HEDGE_DELAY + 1);
+    expect(record?.smoothedLatency).toBe(HEDGE_DELAY_MS + 1);
   });
 
   it('is not sent when the first attempt is quick, or the budget is spent', async () => {
-    const quick = new Bench(1);
-    firstBackend(quick).latency = HEDGE_DELAY - 1;
+    const quick = new ExecutionHarness(1);
+    firstBackend(quick).latency = HEDGE_DELAY_MS - 1;
     await quick.run();
     expect(quick.tally.hedges).toBe(0);
-    const poor = new Bench(1);
+    const poor = new ExecutionHarness(1);
     poor.hedgesLeft = 0;
     firstBackend(poor).latency = 100;
     await poor.run();
@@ -155,14 +155,14 @@
   });
 
   it('is never sent for a request that is not repeatable', async () => {
-    const bench = new Bench(1);
+    const bench = new ExecutionHarness(1);
     firstBackend(bench).latency = 100;
     await bench.run(false);
     expect(ledgerSizes(bench)).toEqual([1, 0]);
   });
 
   it('that fails leaves the first attempt its chance', async () => {
-    const bench = new Bench(1);
+    const bench = new ExecutionHarness(1);
     firstBackend(bench).latency = 100;
     const [, second] = bench.backends;
     if (second !== undefined) second.down = true;
@@ -173,18 +173,18 @@
 
 describe('the completion policy', () => {
   it('ends the wait for the rest once coverage suffices', async () => {
-    const bench = new Bench(2, 0.5);
+    const bench = new ExecutionHarness(2, 0.5);
     bench.hedgesLeft = 0;
     bench.furtherWait = 30;
     const { latency } = firstBackend(bench);
     firstBackend(bench).latency = Infinity;
-    const { coverage, ending } = await bench.run();
+    const { coverage, endReason: ending } = await bench.run();
     expect(ending).toBe('sufficient');
     expect(bench.clock.now()).toBe(50 + latency + bench.furtherWait);
     expect(coverage.missing).toEqual([{ shardId: 'shard-0', reason: 'not_waited_for' }]);
-    expect(bench.replies).toEqual([latency]);
-    expect(bench.unfinished).toEqual([latency + bench.furtherWait]);
-    expect(firstBackend(bench).ledger[0]?.cancelled).toBe(true);
+    expect(bench.recordedReplies).toEqual([latency]);
+    expect(bench.recordedUnfinished).toEqual([latency + bench.furtherWait]);
+    expect(firstBackend(bench).attempts[0]?.cancelled).toBe(true);
   });
 });
 
@@ -193,12 +193,12 @@
     const warnings: string[] = [];
     const onWarning = ({ name }: Error): void => void warnings.push(name);
     process.on('warning', onWarning);
-    const bench = new Bench(SHARDS_BEYOND_DEFAULT_LISTENERS);
+    const bench = new ExecutionHarness(SHARDS_BEYOND_DEFAULT_LISTENERS);
     for (const { replicaId } of bench.backends) {
       const record = bench.registry.get(replicaId);
       while (record?.hasRoom === true) record.beginAttempt();
     }
-    expect((await bench.run()).ending).toBe('deadline');
+    expect((await bench.run()).endReason).toBe('deadline');
     await new Promise((resolve) => setImmediate(resolve));
     process.off('warning', onWarning);
     expect(warnings).toEqual([]);
--- a/test/router/snapshots.test.ts
+++ b/test/router/snapshots.test.ts
@@ -3,7 +3,7 @@
 import type { Reply } from './support/router-harness.js';
 
 /** Snapshots that the results of an answer were really drawn from. */
-function drawnFrom(reply: Reply): string[] {
+function snapshotsOf(reply: Reply): string[] {
   const results = reply.answer.results.map(({ result }) => result as { snapshot: string });
   return [...new Set(results.map(({ snapshot }) => snapshot))];
 }
@@ -20,17 +20,17 @@
 describe('one snapshot an answer', () => {
   it('draws from the newest snapshot that every shard holds', async () => {
     const harness = await startHalfPublished();
-    expect(drawnFrom(await harness.query())).toEqual(['1.1']);
+    expect(snapshotsOf(await harness.query())).toEqual(['1.1']);
     harness.backend('s2-r1').snapshots = ['1.1', '1.2'];
     await harness.clock.advance(1_000);
     const reply = await harness.query();
-    expect(drawnFrom(reply)).toEqual(['1.2']);
+    expect(snapshotsOf(reply)).toEqual(['1.2']);
     expect(reply.answer.snapshot).toEqual({ layoutEpoch: 1, indexVersion: 2 });
   });
 
   it('is seen to be broken when each replica is asked for its own newest', async () => {
     const harness = await startHalfPublished({ mergeAcrossSnapshots: true });
-    expect(drawnFrom(await harness.query())).toHaveLength(2);
+    expect(snapshotsOf(await harness.query())).toHaveLength(2);
   });
 
   it('takes an older layout when the newest one is not held everywhere', async () => {
@@ -45,7 +45,7 @@
     harness.backend('s1-r0').snapshots.push('2.2');
     await harness.clock.advance(1_000);
     const after = await harness.query();
-    expect(drawnFrom(after)).toEqual(['2.2']);
+    expect(snapshotsOf(after)).toEqual(['2.2']);
     expect(after.answer.coverage.reached).toEqual(['shard-0', 'shard-1']);
   });
 
@@ -64,7 +64,7 @@
     for (const replica of ['s0-r0', 's1-r0']) harness.backend(replica).snapshots.push('1.2');
     await harness.clock.advance(1_000);
     const reply = await harness.query();
-    expect(drawnFrom(reply)).toEqual(['1.1']);
+    expect(snapshotsOf(reply)).toEqual(['1.1']);
     expect(reply.answer.coverage.missing).toEqual([]);
   });
 
@@ -75,7 +75,7 @@
     for (const replica of ['s2-r0', 's2-r1']) harness.backend(replica).snapshots = ['1.1'];
     const reply = await harness.query();
     expect(reply.status).toBe(200);
-    expect(drawnFrom(reply)).toEqual(['1.1']);
+    expect(snapshotsOf(reply)).toEqual(['1.1']);
     expect(reply.answer.coverage.missing).toEqual([]);
     expect(reply.answer.attempts.primary).toBe(6);
   });
@@ -90,7 +90,7 @@
     }
     for (let number = 0; number < 30; number += 1) {
       const reply = await harness.query({ requestId: `request-${number}` });
-      expect(drawnFrom(reply)).toEqual(['1.2']);
+      expect(snapshotsOf(reply)).toEqual(['1.2']);
     }
   });
 
@@ -103,7 +103,7 @@
     const { status, error } = await harness.query();
     expect(status).toBe(503);
     expect(error.coverage?.reached).toEqual(['shard-0']);
-    const ledger = [...harness.backends.values()].flatMap((backend) => backend.ledger);
+    const ledger = [...harness.backends.values()].flatMap((backend) => backend.attempts);
     const asked = ['1.3', '1.3', '1.3', '1.2', '1.2', '1.2'];
     expect(ledger.map(({ snapshot }) => snapshot).sort()).toEqual(asked.sort());
     expect(new Set(ledger.map(({ attemptId }) => attemptId)).size).toBe(6);
@@ -120,7 +120,7 @@
       if (snapshot === '1.2') draft.disposition = 'failed';
     };
     const reply = await harness.query();
-    expect(drawnFrom(reply)).toEqual(['1.1']);
+    expect(snapshotsOf(reply)).toEqual(['1.1']);
     expect(reply.answer.coverage.reached).toEqual(['shard-0', 'shard-1']);
   });
 
@@ -134,7 +134,7 @@
       const { status } = await harness.query({ requestId: `request-${number}` });
       expect(status).toBe(503);
     }
-    const ledger = [...harness.backends.values()].flatMap((backend) => backend.ledger);
+    const ledger = [...harness.backends.values()].flatMap((backend) => backend.attempts);
     expect(new Set(ledger.map(({ snapshot }) => snapshot))).toEqual(new Set(['1.2']));
   });
 
--- a/test/router/support/failure-run.ts
+++ b/test/router/support/failure-run.ts
@@ -13,7 +13,7 @@
 
 const SHARDS = 3;
 const STEPS = 500;
-const LONGEST_STEP = 20;
+const MAXIMUM_STEP_MS = 20;
 const SETTINGS: SettingsOverride = {
   maximumAttemptsPerShard: 4,
   retryBudgetPercent: 100,
@@ -32,14 +32,14 @@
 }
 
 /** When a replica's process began to leave. */
-export interface Leaving {
+export interface Departure {
   readonly replicaId: string;
   readonly incarnation: number;
   readonly at: number;
 }
 
 /** The reply to another caller's attempt at the same shard and snapshot. */
-function replaceByForeign(draft: ReplyDraft): void {
+function replaceWithForeignReply(draft: ReplyDraft): void {
   draft.headers[BackendHeader.AttemptId] = 'another';
   const result = JSON.parse(draft.body) as object;
   draft.body = JSON.stringify({ ...result, requestId: 'another-caller~1' });
@@ -48,13 +48,13 @@
 /** Everything that was seen from outside the router. */
 export class FailureRun {
   readonly queries: SentQuery[] = [];
-  readonly leavings: Leaving[] = [];
+  readonly departures: Departure[] = [];
   private readonly random: PureRandomSource;
   private readonly pending: Promise<unknown>[] = [];
   private revision = 1;
   private version = 1;
   private layouts: ShardLayout[] = [createLayout(1, { shards: SHARDS })];
-  private sent = 0;
+  private sentCount = 0;
 
   private constructor(
     seed: number,
@@ -62,7 +62,7 @@
   ) {
     this.random = new PureRandomSource(seed);
     for (const backend of this.backends) {
-      backend.tamper = (draft) => this.disturb(draft, backend);
+      backend.tamper = (draft) => this.injectReplyFailure(draft, backend);
     }
   }
 
@@ -70,8 +70,8 @@
     const harness = await RouterHarness.start({ shards: SHARDS, settings: SETTINGS, faults });
     const run = new FailureRun(seed, harness);
     for (let step = 0; step < STEPS; step += 1) {
-      run.act();
-      await harness.clock.advance(run.random.nextInteger(1, LONGEST_STEP));
+      run.performRandomAction();
+      await harness.clock.advance(run.random.nextInteger(1, MAXIMUM_STEP_MS));
     }
     await harness.clock.runUntil(Promise.all([harness.daemon.stop(), ...run.pending]));
     return run;
@@ -81,7 +81,7 @@
     return [...this.harness.backends.values()];
   }
 
-  private act(): void {
+  private performRandomAction(): void {
     this.sendQueries();
     const chance = this.random.nextFloat();
     if (chance < 0.04) this.publish();
@@ -89,17 +89,17 @@
     else if (chance < 0.07) this.changeSettings();
     else if (chance < 0.1) this.crash(this.pick(this.backends));
     else if (chance < 0.13) this.drain(this.pick(this.backends));
-    else if (chance < 0.16) this.straggle(this.pick(this.backends));
-    else if (chance < 0.18) this.tellOldSign(this.pick(this.backends));
+    else if (chance < 0.16) this.slowDown(this.pick(this.backends));
+    else if (chance < 0.18) this.publishOutdatedSign(this.pick(this.backends));
   }
 
   private sendQueries(): void {
     for (let count = this.random.nextInteger(0, 3); count > 0; count -= 1) {
       const repeatable = this.random.nextFloat() < 0.6;
-      this.sent += 1;
-      this.send(`caller-${this.sent}`, repeatable);
+      this.sentCount += 1;
+      this.send(`caller-${this.sentCount}`, repeatable);
       const sendsAgain = !repeatable && this.random.nextFloat() < 0.3;
-      if (sendsAgain) this.send(`caller-${this.sent}`, repeatable);
+      if (sendsAgain) this.send(`caller-${this.sentCount}`, repeatable);
     }
   }
 
@@ -118,15 +118,21 @@
     for (const { layoutEpoch } of this.layouts) {
       const snapshot = `${layoutEpoch}.${this.version}`;
       for (const backend of this.backends) {
-        this.later(800, () => (backend.snapshots = [...backend.snapshots, snapshot].slice(-4)));
-        if (this.random.nextFloat() < 0.2) this.later(1_000, () => backend.snapshots.shift());
+        this.scheduleWithin(
+          800,
+          () => (backend.snapshots = [...backend.snapshots, snapshot].slice(-4)),
+        );
+        if (this.random.nextFloat() < 0.2)
+          this.scheduleWithin(1_000, () => backend.snapshots.shift());
       }
     }
   }
 
   private repartition(): void {
     const [last] = this.layouts.slice(-1);
-    const next = createLayout((last?.layoutEpoch ?? 0) + 1, { shards: 1 + (this.sent % SHARDS) });
+    const next = createLayout((last?.layoutEpoch ?? 0) + 1, {
+      shards: 1 + (this.sentCount % SHARDS),
+    });
     this.layouts = [...this.layouts.slice(-1), next];
     this.changeSettings();
     this.publish();
@@ -142,44 +148,44 @@
   private crash(backend: FakeBackend): void {
     if (backend.down) return;
     backend.crash();
-    this.later(1_500, () => backend.restart());
+    this.scheduleWithin(1_500, () => backend.restart());
   }
 
   private drain(backend: FakeBackend): void {
     if (backend.down || backend.draining) return;
     const { replicaId, incarnation } = backend;
     backend.draining = true;
-    this.leavings.push({ replicaId, incarnation, at: this.harness.clock.now() });
-    this.later(6_000, () => {
+    this.departures.push({ replicaId, incarnation, at: this.harness.clock.now() });
+    this.scheduleWithin(6_000, () => {
       if (backend.incarnation === incarnation && !backend.down) backend.restart();
     });
   }
 
-  private straggle(backend: FakeBackend): void {
+  private slowDown(backend: FakeBackend): void {
     backend.latency = 100;
-    this.later(300, () => (backend.latency = 1));
+    this.scheduleWithin(300, () => (backend.latency = 1));
   }
 
   /** A source that lags, and says that a process lives which may be leaving. */
-  private tellOldSign({ replicaId, incarnation }: FakeBackend): void {
+  private publishOutdatedSign({ replicaId, incarnation }: FakeBackend): void {
     const old = Math.max(1, incarnation - this.random.nextInteger(0, 1));
     const sign = { replicaId, incarnation: old, state: 'live', observedBy: 'platform' } as const;
-    this.harness.source.tellSign(sign);
+    this.harness.source.publishSign(sign);
   }
 
   /** A few replies go wrong in every way there is. */
-  private disturb(draft: ReplyDraft, backend: FakeBackend): void {
+  private injectReplyFailure(draft: ReplyDraft, backend: FakeBackend): void {
     const chance = this.random.nextFloat();
     draft.latency += this.random.nextInteger(0, 10);
     if (chance < 0.02) draft.error = new HttpClientError('connection_lost', true, backend.address);
-    else if (chance < 0.04) replaceByForeign(draft);
+    else if (chance < 0.04) replaceWithForeignReply(draft);
     else if (chance < 0.06 && draft.disposition === 'answered') draft.disposition = 'not_started';
     else if (chance < 0.07 && draft.disposition === 'answered') draft.disposition = 'failed';
     else if (chance < 0.08) draft.body = draft.body.slice(1);
     else if (chance < 0.09) draft.latency = Infinity;
   }
 
-  private later(within: number, act: () => void): void {
+  private scheduleWithin(within: number, act: () => void): void {
     this.harness.clock.setTimer(this.random.nextInteger(1, within), act);
   }
 
--- a/test/router/support/fake-backend.ts
+++ b/test/router/support/fake-backend.ts
@@ -9,7 +9,7 @@
 import type { VirtualClock } from './virtual-clock.js';
 
 /** One attempt as the back end saw it. */
-export interface LedgerEntry {
+export interface RecordedAttempt {
   readonly requestId: string;
   /** Of the process that got it. */
   readonly incarnation: number;
@@ -43,15 +43,15 @@
   /** Connections are refused. */
   down = false;
   /** Reports do not arrive, queries do. */
-  silent = false;
+  dropsReports = false;
   latency = 1;
   /** Bytes of a reply's body that arrive at once, long before the rest. */
   bytesAtOnce = 0;
-  readonly ledger: LedgerEntry[] = [];
+  readonly attempts: RecordedAttempt[] = [];
   /** Changes a reply before it is sent. */
-  tamper: (draft: ReplyDraft, entry: LedgerEntry) => void = () => undefined;
+  tamper: (draft: ReplyDraft, entry: RecordedAttempt) => void = () => undefined;
 
-  private crashes: (() => void)[] = [];
+  private crashCallbacks: (() => void)[] = [];
 
   constructor(
     readonly replicaId: string,
@@ -59,8 +59,8 @@
     private readonly clock: VirtualClock,
   ) {}
 
-  get started(): LedgerEntry[] {
-    return this.ledger.filter((entry) => entry.started);
+  get started(): RecordedAttempt[] {
+    return this.attempts.filter((entry) => entry.started);
   }
 
   async serve(request: HttpClientRequest, signal: AbortSignal): Promise<HttpClientResponse> {
@@ -83,9 +83,9 @@
   /** Loses whatever is in flight and accepts nothing until {@link restart}. */
   crash(): void {
     this.down = true;
-    const { crashes } = this;
-    this.crashes = [];
-    for (const fail of crashes) fail();
+    const { crashCallbacks: callbacks } = this;
+    this.crashCallbacks = [];
+    for (const fail of callbacks) fail();
   }
 
   /** A new process, which has what the former one had on disk. */
@@ -98,12 +98,12 @@
   private nextCrash(): Promise<never> {
     return new Promise((_, reject) => {
       const lost = new HttpClientError('connection_lost', true, this.address);
-      this.crashes.push(() => reject(lost));
+      this.crashCallbacks.push(() => reject(lost));
     });
   }
 
   private async report(signal: AbortSignal): Promise<HttpClientResponse> {
-    await this.wait(this.silent ? Infinity : 1, signal);
+    await this.wait(this.dropsReports ? Infinity : 1, signal);
     const { replicaId, incarnation, draining, snapshots } = this;
     const body = JSON.stringify({ replicaId, incarnation, draining, load: 0, snapshots });
     return { status: 200, headers: {}, body: Buffer.from(body) };
@@ -116,9 +116,9 @@
     });
   }
 
-  private record(request: HttpClientRequest): LedgerEntry {
+  private record(request: HttpClientRequest): RecordedAttempt {
     const header = (name: string): string => request.headers[name] ?? '';
-    const entry: LedgerEntry = {
+    const entry: RecordedAttempt = {
       requestId: header(BackendHeader.RequestId),
       incarnation: this.incarnation,
       attemptId: header(BackendHeader.AttemptId),
@@ -131,11 +131,11 @@
       finished: false,
       cancelled: false,
     };
-    this.ledger.push(entry);
+    this.attempts.push(entry);
     return entry;
   }
 
-  private draft(request: HttpClientRequest, entry: LedgerEntry): ReplyDraft {
+  private draft(request: HttpClientRequest, entry: RecordedAttempt): ReplyDraft {
     const headers: Record<string, string> = {};
     for (const name of ['RequestId', 'AttemptId', 'Service', 'ShardId', 'Snapshot'] as const) {
       headers[BackendHeader[name]] = request.headers[BackendHeader[name]] ?? '';
--- a/test/router/support/fixed-source.ts
+++ b/test/router/support/fake-configuration-source.ts
@@ -8,11 +8,11 @@
 } from '../../../src/settings/configuration-source.js';
 import type { ConfigurationState } from '../../../src/settings/configuration-state.js';
 
-export class FixedSource implements ConfigurationSource {
+export class FakeConfigurationSource implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
   readonly replicaReports: Stream<ReplicaReport>;
   readonly publish: (state: ConfigurationState) => void;
-  readonly tellSign: (sign: ReplicaReport) => void;
+  readonly publishSign: (sign: ReplicaReport) => void;
   readonly reported: ReplicaReport[] = [];
   fresh = true;
 
@@ -23,7 +23,7 @@
       this.state = next;
       publish(next);
     };
-    [this.tellSign, this.replicaReports] = createAdapter<ReplicaReport>();
+    [this.publishSign, this.replicaReports] = createAdapter<ReplicaReport>();
   }
 
   current(): ConfigurationState | undefined {
--- a/test/router/support/router-harness.ts
+++ b/test/router/support/router-harness.ts
@@ -16,7 +16,7 @@
 import type { SettingsOverride } from '../../../src/settings/service-settings.js';
 import { FakeBackend } from './fake-backend.js';
 import { FakeNetwork } from './fake-network.js';
-import { FixedSource } from './fixed-source.js';
+import { FakeConfigurationSource } from './fake-configuration-source.js';
 import { VirtualClock } from './virtual-clock.js';
 
 export const SERVICE = 'kifu-audit';
@@ -88,7 +88,7 @@
     readonly clock: VirtualClock,
     readonly backends: ReadonlyMap<string, FakeBackend>,
     readonly network: FakeNetwork,
-    readonly source: FixedSource,
+    readonly source: FakeConfigurationSource,
     readonly metrics: Registry,
     readonly daemon: RouterDaemon,
   ) {}
@@ -106,7 +106,9 @@
       }
     }
     const network = new FakeNetwork(byAddress);
-    const source = new FixedSource(options.withoutConfiguration === true ? undefined : state);
+    const source = new FakeConfigurationSource(
+      options.withoutConfiguration === true ? undefined : state,
+    );
     const metrics = new Registry();
     const random = new PureRandomSource(7);
     const limits = options.limits ?? {};
@@ -129,7 +131,7 @@
 
   /** Every attempt that any back end saw. */
   get attempts(): { readonly replicaId: string; readonly started: boolean }[] {
-    return [...this.backends.values()].flatMap(({ replicaId, ledger }) =>
+    return [...this.backends.values()].flatMap(({ replicaId, attempts: ledger }) =>
       ledger.map(({ started }) => ({ replicaId, started })),
     );
   }
--- a/test/routes/tenants.test.ts
+++ b/test/routes/tenants.test.ts
@@ -83,10 +83,10 @@
 describe('tenants of a RouteTable', () => {
   it('finds a tenant by each of its keys and by no other text', () => {
     const { tenants } = new RouteTable(read([{ name: 'one', keys: [SECRET, 'other'] }]));
-    expect(tenants?.holderOf(SECRET)?.name).toBe('one');
-    expect(tenants?.holderOf('other')?.name).toBe('one');
+    expect(tenants?.findByKey(SECRET)?.name).toBe('one');
+    expect(tenants?.findByKey('other')?.name).toBe('one');
     for (const key of ['', 'OTHER', ' other', `${SECRET}, ${SECRET}`, 'k'.repeat(100_000)]) {
-      expect(tenants?.holderOf(key)).toBeUndefined();
+      expect(tenants?.findByKey(key)).toBeUndefined();
     }
   });
 
@@ -97,9 +97,9 @@
         { name: 'one', keys: [SECRET, SECRET] },
       ]),
     );
-    expect(tenants?.named('locked out')).toBeDefined();
-    expect(tenants?.holderOf('')).toBeUndefined();
-    expect(tenants?.holderOf(SECRET)?.name).toBe('one');
+    expect(tenants?.findByName('locked out')).toBeDefined();
+    expect(tenants?.findByKey('')).toBeUndefined();
+    expect(tenants?.findByKey(SECRET)?.name).toBe('one');
   });
 
   it('does not retain keys', () => {
@@ -111,7 +111,7 @@
   it('finds every key at the documented maximum size of 10,000 tenants with 30,000 keys', () => {
     const { tenants } = new RouteTable(read(manyTenants()));
     const missed = manyTenants().flatMap(({ name, keys }) =>
-      keys.filter((key) => tenants?.holderOf(key)?.name !== name),
+      keys.filter((key) => tenants?.findByKey(key)?.name !== name),
     );
     expect(missed).toEqual([]);
   });
@@ -128,7 +128,7 @@
     for (const tenants of others) {
       const table = new RouteTable(read(tenants), first);
       expect(table.tenants).not.toBe(first.tenants);
-      expect(table.tenants?.holderOf(SECRET)?.name).toBe(
+      expect(table.tenants?.findByKey(SECRET)?.name).toBe(
         tenants[0]?.keys[0] === SECRET ? tenants[0].name : undefined,
       );
     }
--- a/test/tenants/keys-stay-secret.test.ts
+++ b/test/tenants/keys-stay-secret.test.ts
@@ -76,7 +76,7 @@
 }
 
 /** Every line and every metric of every process. */
-async function writtenBy({ harness, controllerLines }: Fleet): Promise<string> {
+async function collectOutput({ harness, controllerLines }: Fleet): Promise<string> {
   const { others, group } = harness;
   const lines = [controllerLines, harness.lines, ...others.map((other) => other.lines)];
   const registries = [
@@ -93,7 +93,7 @@
     const fleet = await start();
     const answers = await sendWrongDocuments(fleet);
     await sendRequests(fleet);
-    const written = await writtenBy(fleet);
+    const written = await collectOutput(fleet);
     expect(written).toContain('route document refused');
     expect(written).toContain('no tenant holds this API key');
     expect(written).toContain('shards gathered for another gateway');
