--- a/test/tenants/lease-keeper.test.ts
+++ b/test/tenants/lease-keeper.test.ts
@@ -4,34 +4,38 @@
 import {
   ConfirmationResult,
   LeaseKeeper,
-  leaseLengthMs,
-  type LeaseAsk,
+  leaseDurationMs,
+  type ConfirmationRequest,
 } from '../../src/tenants/lease-keeper.js';
 import { ManualClock } from '../support/manual-clock.js';
 import { BOUND_MS, runLeaseModel, type ModelFaults, type ModelResult } from './lease-model.js';
 
 const SEEDS = Array.from({ length: 150 }, (_, index) => index + 1);
-const LENGTH_MS = leaseLengthMs(BOUND_MS);
+const LEASE_MS = leaseDurationMs(BOUND_MS);
 /** Of the bound, without a path to the controllers, in which requests are still to be served. */
-const SERVED_PART = 0.6;
+const SERVED_FRACTION = 0.6;
 
-interface Parts {
+interface KeeperWithClock {
   readonly clock: ManualClock;
   readonly keeper: LeaseKeeper;
 }
 
-function createParts(version?: number, needsKeys = true): Parts {
+function createKeeper(version?: number, needsKeys = true): KeeperWithClock {
   const clock = new ManualClock();
   const keeper = new LeaseKeeper({ clock, random: seededRandom(7, 'keeper'), boundMs: BOUND_MS });
-  if (version !== undefined) keeper.useTable(version, needsKeys);
+  if (version !== undefined) keeper.setRouteTable(version, needsKeys);
   return { clock, keeper };
 }
 
 /** Asks, and has the answer a while later. */
-function renew({ clock, keeper }: Parts, version: number, afterMs: number): ConfirmationResult {
-  const { number } = keeper.beginAsk();
+function renew(
+  { clock, keeper }: KeeperWithClock,
+  version: number,
+  afterMs: number,
+): ConfirmationResult {
+  const { number } = keeper.beginRequest();
   clock.advance(afterMs);
-  return keeper.takeAnswer(number, version);
+  return keeper.handleConfirmation(number, version);
 }
 
 function runAll(faults: ModelFaults = {}): ModelResult {
@@ -54,7 +58,7 @@
   });
 
   it('which fails where the lease counts from the answer', () => {
-    expect(runAll({ countFromAnswer: true }).violations).toBeGreaterThan(0);
+    expect(runAll({ countFromResponse: true }).violations).toBeGreaterThan(0);
   });
 
   it('which fails where a controller answers by what it believes', () => {
@@ -68,15 +72,15 @@
 
 describe('a lease', () => {
   it('is not held before the first answer', () => {
-    const { keeper } = createParts(3);
+    const { keeper } = createKeeper(3);
     expect(keeper.isHeld).toBe(false);
     expect(keeper.retryAfterMs).toBeGreaterThan(0);
   });
 
   it('counts from the ask', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     expect(renew(parts, 3, 400)).toBe(ConfirmationResult.Renewed);
-    parts.clock.advance(LENGTH_MS - 401);
+    parts.clock.advance(LEASE_MS - 401);
     expect(parts.keeper.isHeld).toBe(true);
     parts.clock.advance(1);
     expect(parts.keeper.isHeld).toBe(false);
@@ -92,88 +96,88 @@
     const random = seededRandom(7, 'keeper');
     const clock = new NodeClock(readings);
     const keeper = new LeaseKeeper({ clock, random, boundMs: BOUND_MS });
-    keeper.useTable(3, true);
-    keeper.takeAnswer(keeper.beginAsk().number, 3);
+    keeper.setRouteTable(3, true);
+    keeper.handleConfirmation(keeper.beginRequest().number, 3);
     expect(keeper.isHeld).toBe(true);
-    time.suspended = LENGTH_MS;
+    time.suspended = LEASE_MS;
     expect(keeper.isHeld).toBe(false);
   });
 
   it('is shorter than the bound by what clocks may be wrong', () => {
-    expect(LENGTH_MS).toBeLessThan(BOUND_MS * 0.99);
+    expect(LEASE_MS).toBeLessThan(BOUND_MS * 0.99);
   });
 
   it('is granted once the confirmed version is in force, counted from the ask', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     expect(renew(parts, 4, 100)).toBe(ConfirmationResult.DocumentMissing);
     expect(parts.keeper.isHeld).toBe(false);
     parts.clock.advance(100);
-    parts.keeper.useTable(4, true);
+    parts.keeper.setRouteTable(4, true);
     expect(parts.keeper.isHeld).toBe(true);
-    expect(parts.keeper.endsInMs).toBe(LENGTH_MS - 200);
+    expect(parts.keeper.expiresInMs).toBe(LEASE_MS - 200);
   });
 
   it('is not granted by a version that comes into force too late', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 4, 100);
-    parts.clock.advance(LENGTH_MS);
-    parts.keeper.useTable(4, true);
+    parts.clock.advance(LEASE_MS);
+    parts.keeper.setRouteTable(4, true);
     expect(parts.keeper.isHeld).toBe(false);
   });
 
   it('is granted by a version older than the one in force', () => {
-    expect(renew(createParts(3), 2, 100)).toBe(ConfirmationResult.Renewed);
+    expect(renew(createKeeper(3), 2, 100)).toBe(ConfirmationResult.Renewed);
   });
 
   it('is not shortened by the answer to an earlier ask', () => {
-    const { clock, keeper } = createParts(3);
-    const first = keeper.beginAsk();
+    const { clock, keeper } = createKeeper(3);
+    const first = keeper.beginRequest();
     clock.advance(500);
-    const second = keeper.beginAsk();
-    expect(keeper.takeAnswer(second.number, 3)).toBe(ConfirmationResult.Renewed);
-    expect(keeper.takeAnswer(first.number, 3)).toBe(ConfirmationResult.Late);
-    expect(keeper.endsInMs).toBe(LENGTH_MS);
+    const second = keeper.beginRequest();
+    expect(keeper.handleConfirmation(second.number, 3)).toBe(ConfirmationResult.Renewed);
+    expect(keeper.handleConfirmation(first.number, 3)).toBe(ConfirmationResult.Late);
+    expect(keeper.expiresInMs).toBe(LEASE_MS);
   });
 
   it('is not granted twice by one answer', () => {
-    const { clock, keeper } = createParts(3);
-    const { number } = keeper.beginAsk();
-    keeper.takeAnswer(number, 3);
-    clock.advance(LENGTH_MS);
-    expect(keeper.takeAnswer(number, 3)).toBe(ConfirmationResult.Late);
+    const { clock, keeper } = createKeeper(3);
+    const { number } = keeper.beginRequest();
+    keeper.handleConfirmation(number, 3);
+    clock.advance(LEASE_MS);
+    expect(keeper.handleConfirmation(number, 3)).toBe(ConfirmationResult.Late);
     expect(keeper.isHeld).toBe(false);
   });
 
   it('is still held for most of the bound after the last path is lost, at the worst moment', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 3, 50);
-    parts.clock.advance(parts.keeper.askDueInMs + BOUND_MS * SERVED_PART);
+    parts.clock.advance(parts.keeper.requestDueInMs + BOUND_MS * SERVED_FRACTION);
     expect(parts.keeper.isHeld).toBe(true);
   });
 });
 
 describe('asks', () => {
   it('are due at once at the start, before the first table too', () => {
-    expect(createParts().keeper.askDueInMs).toBe(0);
+    expect(createKeeper().keeper.requestDueInMs).toBe(0);
   });
 
   it('are never due where no route needs a key', () => {
-    expect(createParts(3, false).keeper.askDueInMs).toBe(Infinity);
+    expect(createKeeper(3, false).keeper.requestDueInMs).toBe(Infinity);
   });
 
   it('are due at once when routes begin to need keys', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 3, 5);
-    parts.keeper.useTable(4, false);
-    parts.keeper.useTable(5, true);
-    expect(parts.keeper.askDueInMs).toBe(0);
+    parts.keeper.setRouteTable(4, false);
+    parts.keeper.setRouteTable(5, true);
+    expect(parts.keeper.requestDueInMs).toBe(0);
   });
 
   it('are spread over a part of the bound', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     const pauses = Array.from({ length: 200 }, () => {
       renew(parts, 3, 0);
-      return parts.keeper.askDueInMs / BOUND_MS;
+      return parts.keeper.requestDueInMs / BOUND_MS;
     });
     expect(Math.min(...pauses)).toBeGreaterThanOrEqual(0.15);
     expect(Math.max(...pauses)).toBeLessThanOrEqual(0.2);
@@ -181,41 +185,41 @@
   });
 
   it('go to another controller while they are not answered', () => {
-    const parts = createParts(3);
-    const asks: LeaseAsk[] = [];
+    const parts = createKeeper(3);
+    const requests: ConfirmationRequest[] = [];
     for (let count = 0; count < 3; count += 1) {
-      asks.push(parts.keeper.beginAsk());
-      parts.clock.advance(parts.keeper.askDueInMs);
+      requests.push(parts.keeper.beginRequest());
+      parts.clock.advance(parts.keeper.requestDueInMs);
     }
-    expect(asks.map(({ unanswered }) => unanswered)).toEqual([0, 1, 2]);
+    expect(requests.map(({ unanswered }) => unanswered)).toEqual([0, 1, 2]);
     expect(parts.clock.now()).toBe(0.3 * BOUND_MS);
     renew(parts, 3, 5);
-    expect(parts.keeper.beginAsk().unanswered).toBe(0);
+    expect(parts.keeper.beginRequest().unanswered).toBe(0);
   });
 
   it('are repeated soon, and not together, while no controller is followed', () => {
-    const { keeper } = createParts(3);
+    const { keeper } = createKeeper(3);
     const pauses = Array.from({ length: 200 }, () => {
-      keeper.noteUnsent(keeper.beginAsk());
-      return keeper.askDueInMs;
+      keeper.recordUnsent(keeper.beginRequest());
+      return keeper.requestDueInMs;
     });
     expect(Math.max(...pauses)).toBeLessThanOrEqual(100);
     expect(Math.max(...pauses) - Math.min(...pauses)).toBeGreaterThan(40);
   });
 
   it('are due at once when a gateway that has just started finds its first controller', () => {
-    const { keeper } = createParts();
-    keeper.noteUnsent(keeper.beginAsk());
-    keeper.noteFollowed();
-    expect(keeper.askDueInMs).toBe(0);
+    const { keeper } = createKeeper();
+    keeper.recordUnsent(keeper.beginRequest());
+    keeper.handleControllerConnected();
+    expect(keeper.requestDueInMs).toBe(0);
   });
 
   it('are not due at once when a controller is found after a cut', () => {
-    const parts = createParts(3);
+    const parts = createKeeper(3);
     renew(parts, 3, 5);
-    parts.clock.advance(LENGTH_MS);
-    parts.keeper.noteUnsent(parts.keeper.beginAsk());
-    parts.keeper.noteFollowed();
-    expect(parts.keeper.askDueInMs).toBeGreaterThan(0);
+    parts.clock.advance(LEASE_MS);
+    parts.keeper.recordUnsent(parts.keeper.beginRequest());
+    parts.keeper.handleControllerConnected();
+    expect(parts.keeper.requestDueInMs).toBeGreaterThan(0);
   });
 });
--- a/test/tenants/lease-model.ts
+++ b/test/tenants/lease-model.ts
@@ -8,11 +8,11 @@
 
 export const BOUND_MS = 5_000;
 const STEP_MS = 5;
-const LENGTH_MS = 60_000;
+const DURATION_MS = 60_000;
 /** Largest error of the gateway's clock rate. */
-const RATE_ERROR = 0.009;
+const MAXIMUM_CLOCK_RATE_ERROR = 0.009;
 /** How old the state of a controller that asks no quorum may be. Milliseconds. */
-const LONGEST_STALENESS_MS = 8_000;
+const MAXIMUM_STALENESS_MS = 8_000;
 
 /** What the model is broken by. */
 export interface ModelFaults extends LeaseFaults {
@@ -30,7 +30,7 @@
 
 interface Delivery {
   readonly at: number;
-  readonly life: number;
+  readonly incarnation: number;
   readonly run: () => void;
 }
 
@@ -38,10 +38,10 @@
 class LeaseModel {
   private now = 0;
   private readonly random: RandomSource;
-  private readonly rate: number;
+  private readonly clockRate: number;
   private readonly acknowledgedAt: number[] = [0];
   private deliveries: Delivery[] = [];
-  private life = 0;
+  private incarnation = 0;
   private version = 0;
   private frozenUntil = 0;
   private cutUntil = 0;
@@ -53,21 +53,21 @@
     private readonly faults: ModelFaults,
   ) {
     this.random = seededRandom(seed, 'lease');
-    this.rate = 1 + (this.random.nextFloat() * 2 - 1) * RATE_ERROR;
+    this.clockRate = 1 + (this.random.nextFloat() * 2 - 1) * MAXIMUM_CLOCK_RATE_ERROR;
     this.keeper = this.createKeeper();
   }
 
   run(): ModelResult {
-    for (; this.now < LENGTH_MS; this.now += STEP_MS) this.step();
+    for (; this.now < DURATION_MS; this.now += STEP_MS) this.step();
     return this.counts;
   }
 
   private createKeeper(): LeaseKeeper {
     const origin = this.random.nextInteger(0, 1e9);
-    const clock = { now: () => origin + this.now * this.rate };
+    const clock = { now: () => origin + this.now * this.clockRate };
     const { random, faults } = this;
     const keeper = new LeaseKeeper({ clock, random, boundMs: BOUND_MS, faults });
-    keeper.useTable(this.version, true);
+    keeper.setRouteTable(this.version, true);
     return keeper;
   }
 
@@ -78,7 +78,7 @@
     if (this.happens(1 / 20_000)) this.restart();
     if (this.now < this.frozenUntil) return;
     this.deliver();
-    if (this.keeper.askDueInMs <= 0) this.ask();
+    if (this.keeper.requestDueInMs <= 0) this.sendConfirmationRequest();
     this.request();
   }
 
@@ -106,31 +106,31 @@
   private useDocument(version: number): void {
     if (version <= this.version) return;
     this.version = version;
-    this.keeper.useTable(version, true);
+    this.keeper.setRouteTable(version, true);
   }
 
   /** The document in force is known before the start, as it comes before any answer could. */
   private restart(): void {
-    this.life += 1;
+    this.incarnation += 1;
     this.frozenUntil = 0;
     this.keeper = this.createKeeper();
   }
 
-  private ask(): void {
-    const { number } = this.keeper.beginAsk();
+  private sendConfirmationRequest(): void {
+    const { number } = this.keeper.beginRequest();
     if (this.now < this.cutUntil) return;
     const arrivesAt = this.now + this.drawDelay();
     const provenAt = arrivesAt + this.drawDelay();
     const answeredAt = provenAt + this.drawDelay();
     this.deliverLater(answeredAt - this.now, () => {
-      this.keeper.takeAnswer(number, this.versionToldAt(arrivesAt, provenAt));
+      this.keeper.handleConfirmation(number, this.drawConfirmedVersion(arrivesAt, provenAt));
     });
   }
 
   /** Anything that a quorum held between the arrival of the question and the proof. */
-  private versionToldAt(arrivesAt: number, provenAt: number): number {
+  private drawConfirmedVersion(arrivesAt: number, provenAt: number): number {
     if (this.faults.skipBarrier === true) {
-      return this.versionAt(arrivesAt - this.draw(LONGEST_STALENESS_MS));
+      return this.versionAt(arrivesAt - this.draw(MAXIMUM_STALENESS_MS));
     }
     return this.versionAt(this.random.nextFloat() < 0.5 ? arrivesAt : provenAt);
   }
@@ -140,7 +140,7 @@
   }
 
   private deliverLater(delay: number, run: () => void): void {
-    this.deliveries.push({ at: this.now + delay, life: this.life, run });
+    this.deliveries.push({ at: this.now + delay, incarnation: this.incarnation, run });
   }
 
   /** Documents reach a later life as well: its streams bring them anew. */
@@ -148,7 +148,7 @@
     if (this.now < this.cutUntil) return;
     const due = this.deliveries.filter(({ at }) => at <= this.now);
     this.deliveries = this.deliveries.filter(({ at }) => at > this.now);
-    for (const { run, life } of due) if (life === this.life) run();
+    for (const { run, incarnation: life } of due) if (life === this.incarnation) run();
     this.recoverDocuments();
   }
 
--- a/test/tenants/quota-client.test.ts
+++ b/test/tenants/quota-client.test.ts
@@ -20,30 +20,30 @@
     random: seededRandom(1, 'quota-client'),
     settings: SETTINGS,
     countGateways: () => undefined,
-    onWanted: () => undefined,
+    onRequestQueued: () => undefined,
     onDecision: () => undefined,
   });
-  client.connected();
+  client.handleConnected();
   return client;
 }
 
 it('refuses a request whose time ends before the answer to its question', async () => {
   const client = createClient();
   const decision = client.take(TENANT, WAITS_MS) as Promise<QuotaDecision>;
-  expect(client.takeAsks()).toMatchObject([{ tenant: 'acme', waiting: 1 }]);
-  client.expire(EXPIRY_INTERVAL_MS);
+  expect(client.takeRequests()).toMatchObject([{ tenant: 'acme', waiting: 1 }]);
+  client.expireWaiting(EXPIRY_INTERVAL_MS);
   const times = { pressureMs: 0, nextTokenMs: 0, retryAfterMs: 0, retrySpacingMs: 0 };
-  client.takeAnswer({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
+  client.handleResponse({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
   expect(await decision).toMatchObject({ isAdmitted: false });
 });
 
 it('keeps a token that came too late for its request for the next one', async () => {
   const client = createClient();
   const decision = client.take(TENANT, WAITS_MS);
-  client.takeAsks();
-  client.expire(EXPIRY_INTERVAL_MS);
+  client.takeRequests();
+  client.expireWaiting(EXPIRY_INTERVAL_MS);
   const times = { pressureMs: 0, nextTokenMs: 0, retryAfterMs: 0, retrySpacingMs: 0 };
-  client.takeAnswer({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
+  client.handleResponse({ kind: 'answer', tenant: 'acme', granted: 1, ...times });
   await decision;
   expect(client.take(TENANT)).toEqual({ isAdmitted: true });
 });
--- a/test/tenants/quota-link.test.ts
+++ b/test/tenants/quota-link.test.ts
@@ -71,7 +71,7 @@
       countGateways: () => gateways,
       controllers: () => this.controllers.map((_, index) => this.addressOf(index)),
     });
-    quota.useTenants(new TenantDirectory([TENANT]));
+    quota.connectIfLimited(new TenantDirectory([TENANT]));
     return quota;
   }
 
@@ -80,14 +80,18 @@
   }
 
   /** Takes as often as `perSecond` for `milliseconds`; gives the times of what was admitted. */
-  async press(quota: GatewayQuota, perSecond: number, milliseconds: number): Promise<number[]> {
+  async sendAtRate(
+    quota: GatewayQuota,
+    perSecond: number,
+    milliseconds: number,
+  ): Promise<number[]> {
     const admitted: number[] = [];
     const end = this.simulation.now + milliseconds;
     while (this.simulation.now < end) {
-      const note = ({ isAdmitted }: QuotaDecision): void => {
+      const recordAdmitted = ({ isAdmitted }: QuotaDecision): void => {
         if (isAdmitted) admitted.push(this.simulation.now);
       };
-      void Promise.resolve(quota.client.take(TENANT)).then(note);
+      void Promise.resolve(quota.client.take(TENANT)).then(recordAdmitted);
       await this.simulation.runFor(1_000 / perSecond);
     }
     return admitted;
@@ -139,7 +143,7 @@
   }
 }
 
-function mostInWindow(times: readonly number[]): number {
+function maximumInWindow(times: readonly number[]): number {
   const counts = times.map(
     (end) => times.filter((time) => time > end - 5_000 && time <= end).length,
   );
@@ -151,8 +155,8 @@
     const fleet = await QuotaFleet.start();
     fleet.leader = 1;
     const [, quota] = await fleet.startGateway('gateway-1');
-    const admitted = await fleet.press(quota, 80, 12_000);
-    expect(mostInWindow(admitted)).toBeLessThanOrEqual(ALLOWED);
+    const admitted = await fleet.sendAtRate(quota, 80, 12_000);
+    expect(maximumInWindow(admitted)).toBeLessThanOrEqual(ALLOWED);
     expect(admitted.length).toBeGreaterThan(10 * 12 * 0.97);
     expect(fleet.servers[1]?.usage()?.[0]?.refused).toBeGreaterThan(0);
     expect(fleet.servers[0]?.usage()).toBeUndefined();
@@ -173,14 +177,14 @@
   ])('goes on with the next owner when one is %s', async (_, fail) => {
     const fleet = await QuotaFleet.start();
     const [, quota] = await fleet.startGateway('gateway-1', 87);
-    const before = await fleet.press(quota, 40, 6_000);
+    const before = await fleet.sendAtRate(quota, 40, 6_000);
     fail(fleet);
     fleet.leader = undefined;
-    const during = await fleet.press(quota, 40, 1_500);
+    const during = await fleet.sendAtRate(quota, 40, 1_500);
     fleet.leader = 1;
     fleet.term = 2;
-    const after = await fleet.press(quota, 40, 10_000);
-    expect(mostInWindow([...before, ...during, ...after])).toBeLessThanOrEqual(ALLOWED);
+    const after = await fleet.sendAtRate(quota, 40, 10_000);
+    expect(maximumInWindow([...before, ...during, ...after])).toBeLessThanOrEqual(ALLOWED);
     expect(after.length).toBeGreaterThan(80);
   });
 
@@ -251,10 +255,10 @@
   it('gives a gateway that starts again no more than the limit', async () => {
     const fleet = await QuotaFleet.start();
     const [machine, quota] = await fleet.startGateway('gateway-1', 8);
-    const before = await fleet.press(quota, 80, 6_000);
+    const before = await fleet.sendAtRate(quota, 80, 6_000);
     machine.restart({ keepDisk: true });
-    const after = await fleet.press(fleet.quotaOn(machine, 8), 80, 6_000);
-    expect(mostInWindow([...before, ...after])).toBeLessThanOrEqual(ALLOWED);
+    const after = await fleet.sendAtRate(fleet.quotaOn(machine, 8), 80, 6_000);
+    expect(maximumInWindow([...before, ...after])).toBeLessThanOrEqual(ALLOWED);
     expect(after.length).toBeGreaterThan(40);
   });
 
@@ -270,7 +274,7 @@
       controllers: () => expect.fail('a controller was looked for'),
     });
     const free = { ...TENANT, requestsPerSecond: 0 };
-    quota.useTenants(new TenantDirectory([free]));
+    quota.connectIfLimited(new TenantDirectory([free]));
     expect(quota.client.take(free)).toEqual({ isAdmitted: true });
     await fleet.simulation.runFor(2_000);
   });
@@ -283,7 +287,7 @@
     connectTimeout: 500,
   });
   const round = { kind: 'round', round: 1 } as const;
-  const ask = {
+  const tokenRequest = {
     kind: 'ask',
     tenant: 'one',
     spent: 0,
@@ -296,10 +300,10 @@
 
   it.each([
     ['no message', Uint8Array.of(255)],
-    ['no round', QUOTA_CODEC.encode(ask)],
+    ['no round', QUOTA_CODEC.encode(tokenRequest)],
     ['another message', QUOTA_CODEC.encodeBatch([round, { kind: 'redirect', owner: '' }])],
-    ['a count below zero', QUOTA_CODEC.encodeBatch([round, { ...ask, returned: -5 }])],
-    ['a cut message', QUOTA_CODEC.encodeBatch([round, ask]).subarray(0, 6)],
+    ['a count below zero', QUOTA_CODEC.encodeBatch([round, { ...tokenRequest, returned: -5 }])],
+    ['a cut message', QUOTA_CODEC.encodeBatch([round, tokenRequest]).subarray(0, 6)],
   ])('end the connection of a gateway: %s', async (_, frame) => {
     const fleet = await QuotaFleet.start();
     const { environment } = fleet.simulation.createMachine('stranger', 'a');
@@ -313,11 +317,11 @@
 
   it('of an owner end its connection, and another is asked', async () => {
     const fleet = await QuotaFleet.start();
-    const liar = fleet.simulation.createMachine('liar', 'a');
+    const malformedOwner = fleet.simulation.createMachine('liar', 'a');
     await fleet.simulation.settle(
       AuthenticatedListener.listen(
-        liar.environment,
-        { host: liar.host, port: PORT },
+        malformedOwner.environment,
+        { host: malformedOwner.host, port: PORT },
         { ...IDENTITY, name: 'liar' },
         {
           quota: async (connection) => {
@@ -329,7 +333,7 @@
         new Registry(),
       ),
     );
-    fleet.controllers.unshift(liar);
+    fleet.controllers.unshift(malformedOwner);
     fleet.leader = 1;
     const [, quota] = await fleet.startGateway('gateway-1');
     await fleet.simulation.runFor(2_000);
--- a/test/tenants/quota-owner-changes.test.ts
+++ b/test/tenants/quota-owner-changes.test.ts
@@ -7,12 +7,12 @@
 const SETTINGS: QuotaSettings = { windowMs: 10_000, overrun: 0.1, slack: 0 };
 const START = 40_000;
 /** From the loss of an owner until the next one is found. Milliseconds. */
-const GAP_MS = 30;
+const OWNERLESS_MS = 30;
 /** Requests that a busy gateway tries at first, and each millisecond: far beyond any limit here. */
-const FIRST_TRIES = 400;
-const TRIES = 3;
+const INITIAL_REQUESTS = 400;
+const REQUESTS_PER_MS = 3;
 /** Requests that each quiet gateway tries just before an owner is lost. */
-const QUIET_TRIES = 60;
+const QUIET_REQUESTS = 60;
 
 interface Fleet {
   readonly gateways: number;
@@ -26,15 +26,20 @@
  * Requests that are passed on in one window in which one gateway drains the bucket, and the
  * others use what needs no owner just before each change, so that its debt is forgotten.
  */
-async function passedOn({ gateways, requestsPerSecond, burst, changes }: Fleet): Promise<number> {
+async function countAdmitted({
+  gateways,
+  requestsPerSecond,
+  burst,
+  changes,
+}: Fleet): Promise<number> {
   let now = START - SETTINGS.windowMs;
   const clock = { now: () => now };
   const tenant: Tenant = { name: 'one', requestsPerSecond, burst };
   const owner = new QuotaOwner({
     clock: clock as never,
     settings: SETTINGS,
-    tenant: () => tenant,
-    onLimit: () => undefined,
+    findTenant: () => tenant,
+    onLimitReached: () => undefined,
   });
   const clients = Array.from({ length: gateways }, () => {
     const client = new QuotaClient({
@@ -42,22 +47,22 @@
       random: { nextFloat: () => 0.999 } as never,
       settings: SETTINGS,
       countGateways: () => gateways,
-      onWanted: () => undefined,
+      onRequestQueued: () => undefined,
       onDecision: () => undefined,
     });
-    client.connected();
+    client.handleConnected();
     return client;
   });
   let passed = 0;
   /** Whether it was decided at once. */
-  const ask = (client: QuotaClient): boolean => {
+  const sendRequest = (client: QuotaClient): boolean => {
     const decision = client.take(tenant, now + 1);
     void Promise.resolve(decision).then(({ isAdmitted }) => (passed += isAdmitted ? 1 : 0));
     return !(decision instanceof Promise);
   };
   const exchange = async (client: QuotaClient): Promise<void> => {
-    for (const answer of client.takeAsks().map((one) => owner.answer(one))) {
-      client.takeAnswer(answer);
+    for (const response of client.takeRequests().map((request) => owner.handleRequest(request))) {
+      client.handleResponse(response);
     }
     client.endRound();
     for (let turn = 0; turn < 4; turn += 1) await Promise.resolve();
@@ -67,22 +72,23 @@
   for (const end of [...changes, SETTINGS.windowMs]) {
     for (let at = from; at < end; at += 1) {
       now = START + at;
-      for (let tries = 0; tries < (at === 0 ? FIRST_TRIES : TRIES); tries += 1) ask(busy);
+      for (let tries = 0; tries < (at === 0 ? INITIAL_REQUESTS : REQUESTS_PER_MS); tries += 1)
+        sendRequest(busy);
       await exchange(busy);
     }
     now = START + end - 0.5;
     for (const client of quiet) {
-      for (let tries = 0; tries < QUIET_TRIES && ask(client); tries += 1);
+      for (let tries = 0; tries < QUIET_REQUESTS && sendRequest(client); tries += 1);
     }
     for (const client of quiet) await exchange(client);
-    for (const client of clients) client.lost();
-    now = START + end + GAP_MS;
-    owner.begin();
-    for (const client of clients) client.connected();
+    for (const client of clients) client.handleDisconnected();
+    now = START + end + OWNERLESS_MS;
+    owner.startOwnership();
+    for (const client of clients) client.handleConnected();
     // The new owner takes off the pressure that the one before told them.
-    for (const client of quiet) ask(client);
+    for (const client of quiet) sendRequest(client);
     for (const client of quiet) await exchange(client);
-    from = end + GAP_MS;
+    from = end + OWNERLESS_MS;
   }
   return passed;
 }
@@ -99,7 +105,7 @@
     it(`keep ${gateways} gateways within ${requestsPerSecond} a second with ${changes.length} of them`, async () => {
       const limit = (requestsPerSecond * SETTINGS.windowMs) / 1_000 + burst;
       const allowed = limit * (1 + SETTINGS.overrun) + SETTINGS.slack;
-      expect(await passedOn(fleet)).toBeLessThanOrEqual(allowed);
+      expect(await countAdmitted(fleet)).toBeLessThanOrEqual(allowed);
     });
   }
 });
--- a/test/tenants/quota-owner.test.ts
+++ b/test/tenants/quota-owner.test.ts
@@ -6,7 +6,7 @@
 
 const TENANT: Tenant = { name: 'acme', requestsPerSecond: 10, burst: 100 };
 /** By then buckets that are not used any more are looked for. Milliseconds. */
-const FORGOTTEN_BY_MS = 60_000;
+const EVICTED_AFTER_MS = 60_000;
 
 function unused(): never {
   throw new Error('not used');
@@ -18,14 +18,14 @@
   const owner = new QuotaOwner({
     clock: { now: () => now, wallTime: unused, setTimer: unused, sleep: unused },
     settings: SETTINGS,
-    tenant: (name) => tenants.get(name),
-    onLimit: () => undefined,
+    findTenant: (name) => tenants.get(name),
+    onLimitReached: () => undefined,
   });
   const use = (waiting: number): number => {
     const counts = { spent: 0, returned: 0, ahead: 0, refused: 0, refusedWithoutOwner: 0 };
-    return owner.answer({ kind: 'ask', tenant: TENANT.name, waiting, ...counts }).granted;
+    return owner.handleRequest({ kind: 'ask', tenant: TENANT.name, waiting, ...counts }).granted;
   };
-  now = FORGOTTEN_BY_MS;
+  now = EVICTED_AFTER_MS;
   expect(use(0)).toBe(0);
   now += SETTINGS.windowMs * 4 - 1;
   const first = use(1_000);
--- a/test/tenants/quota-replay.test.ts
+++ b/test/tenants/quota-replay.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
-import { QuotaPath } from '../../src/tenants/quota-path.js';
+import { QuotaDecisionPath } from '../../src/tenants/quota-decision-path.js';
 import type { Tenant } from '../../src/tenants/tenant.js';
 import {
   admittedByLimit,
   allowedInWindow,
-  fullestWindow,
+  busiestWindow,
   QuotaReplay,
-  refusedBeneath,
+  refusedBelowLimit,
   type Outcome,
 } from './quota-replay.js';
 
@@ -27,13 +27,13 @@
   return replay.tenants.get(name) ?? expect.fail(name);
 }
 
-function expectWithinBound(replay: QuotaReplay, name: string, from = -Infinity): number {
-  const { most, windows } = fullestWindow(replay.outcomes, name, replay.settings, from);
+function expectWithinTolerance(replay: QuotaReplay, name: string, from = -Infinity): number {
+  const { most, windows } = busiestWindow(replay.outcomes, name, replay.settings, from);
   expect(most).toBeLessThanOrEqual(allowedInWindow(tenantOf(replay, name)));
   return windows;
 }
 
-function started(count: number, seed: number): { replay: QuotaReplay; owner: number } {
+function startReplay(count: number, seed: number): { replay: QuotaReplay; owner: number } {
   const replay = new QuotaReplay(count, seed);
   const owner = replay.startOwner();
   replay.connectAll(owner);
@@ -48,14 +48,14 @@
     async ({ size, requestsPerSecond, burst }) => {
       let windows = 0;
       for (const seed of SEEDS) {
-        const { replay } = started(size, seed);
-        replay.limit('one', requestsPerSecond, burst);
-        replay.load('one', requestsPerSecond * 0.5, 0, 10 * SECOND);
-        replay.load('one', requestsPerSecond * 8, 10 * SECOND, 11 * SECOND);
-        replay.load('one', requestsPerSecond * 8, 20 * SECOND, 40 * SECOND);
+        const { replay } = startReplay(size, seed);
+        replay.setLimit('one', requestsPerSecond, burst);
+        replay.addPoissonLoad('one', requestsPerSecond * 0.5, 0, 10 * SECOND);
+        replay.addPoissonLoad('one', requestsPerSecond * 8, 10 * SECOND, 11 * SECOND);
+        replay.addPoissonLoad('one', requestsPerSecond * 8, 20 * SECOND, 40 * SECOND);
         for (let gateway = 0; gateway < size; gateway += 1) replay.request(50_000, 'one', gateway);
         await replay.runUntil(60 * SECOND);
-        windows += expectWithinBound(replay, 'one');
+        windows += expectWithinTolerance(replay, 'one');
       }
       expect(windows).toBeGreaterThan(0);
     },
@@ -66,19 +66,19 @@
     async ({ size, requestsPerSecond, burst }) => {
       let [refused, beneath, admitted, allowed] = [0, 0, 0, 0];
       for (const seed of SEEDS) {
-        const { replay } = started(size, seed);
-        replay.limit('one', requestsPerSecond, burst);
-        replay.limit('hot', requestsPerSecond, burst);
+        const { replay } = startReplay(size, seed);
+        replay.setLimit('one', requestsPerSecond, burst);
+        replay.setLimit('hot', requestsPerSecond, burst);
         const span = Math.max(20, 400 / requestsPerSecond) * SECOND;
-        replay.load('one', requestsPerSecond * 0.9, 10 * SECOND, 10 * SECOND + span);
-        replay.load('hot', requestsPerSecond * 5, 10 * SECOND, 10 * SECOND + span);
+        replay.addPoissonLoad('one', requestsPerSecond * 0.9, 10 * SECOND, 10 * SECOND + span);
+        replay.addPoissonLoad('hot', requestsPerSecond * 5, 10 * SECOND, 10 * SECOND + span);
         await replay.runUntil(20 * SECOND + span);
-        refused += refusedBeneath(replay.outcomes, tenantOf(replay, 'one'));
+        refused += refusedBelowLimit(replay.outcomes, tenantOf(replay, 'one'));
         beneath += admittedByLimit(replay.outcomes, tenantOf(replay, 'one'));
         const hot = replay.outcomes.filter(({ tenant }) => tenant === 'hot');
         allowed += admittedByLimit(hot, tenantOf(replay, 'hot'));
         admitted += hot.filter(({ isAdmitted }) => isAdmitted).length;
-        expectWithinBound(replay, 'hot');
+        expectWithinTolerance(replay, 'hot');
       }
       console.info(
         `${size} gateways, ${requestsPerSecond}/s + ${burst}: refused beneath the limit ` +
@@ -96,42 +96,46 @@
   const small = { requestsPerSecond: 0.5, burst: 2 };
   const faults: Readonly<Record<string, (replay: QuotaReplay, owner: number) => void>> = {
     'an owner is killed and another begins': (replay, owner) => {
-      replay.at(30_000, () => replay.stopOwner(owner));
-      replay.at(31_500, () => replay.connectAll(replay.startOwner()));
+      replay.schedule(30_000, () => replay.stopOwner(owner));
+      replay.schedule(31_500, () => replay.connectAll(replay.startOwner()));
     },
     'the owner changes twice within a window': (replay) => {
-      replay.at(30_000, () => replay.connectAll(replay.startOwner()));
-      replay.at(32_000, () => replay.connectAll(replay.startOwner()));
+      replay.schedule(30_000, () => replay.connectAll(replay.startOwner()));
+      replay.schedule(32_000, () => replay.connectAll(replay.startOwner()));
     },
     'two owners grant for a moment, each to half of the gateways': (replay, owner) => {
-      replay.at(30_000, () => {
+      replay.schedule(30_000, () => {
         const other = replay.startOwner();
-        for (let gateway = 0; gateway < replay.count; gateway += 2) replay.connect(gateway, other);
+        for (let gateway = 0; gateway < replay.gatewayCount; gateway += 2)
+          replay.connect(gateway, other);
       });
-      replay.at(30_100, () => replay.connectAll(owner + 1));
+      replay.schedule(30_100, () => replay.connectAll(owner + 1));
     },
     'half of the gateways are cut off': (replay) => {
-      replay.at(30_000, () => {
-        for (let gateway = 0; gateway < replay.count; gateway += 2) replay.disconnect(gateway);
+      replay.schedule(30_000, () => {
+        for (let gateway = 0; gateway < replay.gatewayCount; gateway += 2)
+          replay.disconnect(gateway);
       });
     },
     'all gateways are cut off': (replay) => {
-      replay.at(30_000, () => {
-        for (let gateway = 0; gateway < replay.count; gateway += 1) replay.disconnect(gateway);
+      replay.schedule(30_000, () => {
+        for (let gateway = 0; gateway < replay.gatewayCount; gateway += 1)
+          replay.disconnect(gateway);
       });
     },
     'all processes start again': (replay) => {
-      replay.at(30_000, () => {
-        for (let gateway = 0; gateway < replay.count; gateway += 1) replay.startGateway(gateway);
+      replay.schedule(30_000, () => {
+        for (let gateway = 0; gateway < replay.gatewayCount; gateway += 1)
+          replay.startGateway(gateway);
       });
-      replay.at(31_000, () => replay.connectAll(replay.startOwner()));
+      replay.schedule(31_000, () => replay.connectAll(replay.startOwner()));
     },
     'gateways come and go': (replay, owner) => {
       for (let step = 0; step < 40; step += 1) {
-        const gateway = (step * 7) % replay.count;
-        replay.at(30_000 + step * 250, () => replay.disconnect(gateway));
-        replay.at(30_100 + step * 250, () => replay.startGateway(gateway));
-        replay.at(30_600 + step * 250, () => replay.connect(gateway, owner));
+        const gateway = (step * 7) % replay.gatewayCount;
+        replay.schedule(30_000 + step * 250, () => replay.disconnect(gateway));
+        replay.schedule(30_100 + step * 250, () => replay.startGateway(gateway));
+        replay.schedule(30_600 + step * 250, () => replay.connect(gateway, owner));
       }
     },
   };
@@ -144,18 +148,20 @@
     async ({ fault, size, requestsPerSecond, burst }) => {
       let ownerless = 0;
       for (const seed of [...SEEDS, 5, 6, 7, 8]) {
-        const { replay, owner } = started(size, seed);
-        replay.limit('one', requestsPerSecond, burst);
-        replay.load('one', requestsPerSecond * 0.5, 16 * SECOND, 30 * SECOND);
-        replay.load('one', requestsPerSecond * 8, 28 * SECOND, 50 * SECOND);
+        const { replay, owner } = startReplay(size, seed);
+        replay.setLimit('one', requestsPerSecond, burst);
+        replay.addPoissonLoad('one', requestsPerSecond * 0.5, 16 * SECOND, 30 * SECOND);
+        replay.addPoissonLoad('one', requestsPerSecond * 8, 28 * SECOND, 50 * SECOND);
         // At every gateway at the worst moments.
         for (const at of [30_001, 34_000, 36_000]) {
           for (let gateway = 0; gateway < size; gateway += 1) replay.request(at, 'one', gateway);
         }
         faults[fault]?.(replay, owner);
         await replay.runUntil(60 * SECOND);
-        expectWithinBound(replay, 'one');
-        ownerless += replay.outcomes.filter(({ path }) => path === QuotaPath.WithoutOwner).length;
+        expectWithinTolerance(replay, 'one');
+        ownerless += replay.outcomes.filter(
+          ({ path }) => path === QuotaDecisionPath.WithoutOwner,
+        ).length;
       }
       // Without such uses the bound would be kept by refusing everything.
       if (fault === 'all gateways are cut off') expect(ownerless).toBeGreaterThan(0);
@@ -164,29 +170,29 @@
 
   it('binds a lowered limit one window later, and a raised one at once', async () => {
     for (const seed of SEEDS) {
-      const { replay } = started(87, seed);
-      replay.limit('one', 100, 50);
-      replay.load('one', 100, 0, 20 * SECOND);
-      replay.at(10 * SECOND, () => replay.limit('one', 2, 1));
-      replay.at(20 * SECOND, () => replay.limit('one', 50, 10));
-      replay.load('one', 45, 20 * SECOND, 40 * SECOND);
+      const { replay } = startReplay(87, seed);
+      replay.setLimit('one', 100, 50);
+      replay.addPoissonLoad('one', 100, 0, 20 * SECOND);
+      replay.schedule(10 * SECOND, () => replay.setLimit('one', 2, 1));
+      replay.schedule(20 * SECOND, () => replay.setLimit('one', 50, 10));
+      replay.addPoissonLoad('one', 45, 20 * SECOND, 40 * SECOND);
       await replay.runUntil(20 * SECOND);
-      expectWithinBound(replay, 'one', 15 * SECOND);
+      expectWithinTolerance(replay, 'one', 15 * SECOND);
       const before = replay.outcomes.length;
       await replay.runUntil(45 * SECOND);
       const raised = replay.outcomes.slice(before).filter(({ at }) => at > 25 * SECOND);
-      expect(refusedBeneath(raised, tenantOf(replay, 'one'))).toBe(0);
+      expect(refusedBelowLimit(raised, tenantOf(replay, 'one'))).toBe(0);
     }
   });
 
   it('counts a request that ran nowhere as none, and keeps the limit', async () => {
     for (const seed of SEEDS) {
-      const { replay } = started(87, seed);
-      replay.limit('one', 20, 10);
+      const { replay } = startReplay(87, seed);
+      replay.setLimit('one', 20, 10);
       for (let at = 0; at < 30 * SECOND; at += 25) replay.request(at, 'one', at % 87, 5);
-      replay.load('one', 18, 5 * SECOND, 30 * SECOND);
+      replay.addPoissonLoad('one', 18, 5 * SECOND, 30 * SECOND);
       await replay.runUntil(40 * SECOND);
-      expectWithinBound(replay, 'one');
+      expectWithinTolerance(replay, 'one');
       const runs = replay.outcomes.filter(({ isAdmitted }) => isAdmitted).length;
       expect(runs).toBeGreaterThan(0.85 * 18 * 25);
     }
@@ -194,41 +200,42 @@
 });
 
 describe('limits of tenants on days of chance', () => {
-  const DAY_MS = 60_000;
+  const RUN_MS = 60_000;
 
   /** Faults, load and tenants of a day follow from its seed. */
-  function planDay(replay: QuotaReplay, first: number, seed: number): void {
+  function planRandomFaults(replay: QuotaReplay, first: number, seed: number): void {
     const random = seededRandom(seed, 'day');
-    const anyGateway = (): number => random.nextInteger(0, replay.count - 1);
+    const anyGateway = (): number => random.nextInteger(0, replay.gatewayCount - 1);
     let owner = first;
     for (let index = 0; index < 6; index += 1) {
       const name = `tenant-${index}`;
       const rate = 2 ** random.nextInteger(-1, 6);
-      replay.limit(name, rate, random.nextInteger(0, 2 * rate + 2));
-      replay.load(name, rate * 0.8, 0, DAY_MS);
-      const hotAt = random.nextInteger(0, DAY_MS);
-      const few = [anyGateway(), anyGateway()];
-      const pick = index % 2 === 0 ? undefined : (): number => few[random.nextInteger(0, 1)] ?? 0;
-      replay.load(name, rate * 8, hotAt, hotAt + 8_000, pick);
+      replay.setLimit(name, rate, random.nextInteger(0, 2 * rate + 2));
+      replay.addPoissonLoad(name, rate * 0.8, 0, RUN_MS);
+      const hotAt = random.nextInteger(0, RUN_MS);
+      const hotGateways = [anyGateway(), anyGateway()];
+      const pick =
+        index % 2 === 0 ? undefined : (): number => hotGateways[random.nextInteger(0, 1)] ?? 0;
+      replay.addPoissonLoad(name, rate * 8, hotAt, hotAt + 8_000, pick);
     }
     for (let fault = 0; fault < 5; fault += 1) {
-      const at = random.nextInteger(5_000, DAY_MS);
+      const at = random.nextInteger(5_000, RUN_MS);
       const kind = random.nextInteger(0, 2);
       if (kind === 0) {
-        replay.at(at, () => replay.stopOwner(owner));
-        replay.at(at + random.nextInteger(800, 2_500), () => {
+        replay.schedule(at, () => replay.stopOwner(owner));
+        replay.schedule(at + random.nextInteger(800, 2_500), () => {
           owner = replay.startOwner();
           replay.connectAll(owner);
         });
       } else if (kind === 1) {
-        const cut = Array.from({ length: Math.ceil(replay.count / 2) }, anyGateway);
-        replay.at(at, () => cut.forEach((gateway) => replay.disconnect(gateway)));
-        replay.at(at + 7_000, () => cut.forEach((gateway) => replay.connect(gateway, owner)));
+        const cut = Array.from({ length: Math.ceil(replay.gatewayCount / 2) }, anyGateway);
+        replay.schedule(at, () => cut.forEach((gateway) => replay.disconnect(gateway)));
+        replay.schedule(at + 7_000, () => cut.forEach((gateway) => replay.connect(gateway, owner)));
       } else {
         const gateway = anyGateway();
-        replay.at(at, () => replay.disconnect(gateway));
-        replay.at(at, () => replay.startGateway(gateway));
-        replay.at(at + 400, () => replay.connect(gateway, owner));
+        replay.schedule(at, () => replay.disconnect(gateway));
+        replay.schedule(at, () => replay.startGateway(gateway));
+        replay.schedule(at + 400, () => replay.connect(gateway, owner));
       }
     }
   }
@@ -237,12 +244,12 @@
     let windows = 0;
     let over = 0;
     for (let seed = 1; seed <= 20; seed += 1) {
-      const { replay, owner } = started(seed % 2 === 0 ? 87 : 8, seed);
-      planDay(replay, owner, seed);
-      await replay.runUntil(DAY_MS + 20_000);
+      const { replay, owner } = startReplay(seed % 2 === 0 ? 87 : 8, seed);
+      planRandomFaults(replay, owner, seed);
+      await replay.runUntil(RUN_MS + 20_000);
       for (const tenant of replay.tenants.values()) {
-        const { most, windows: looked } = fullestWindow(replay.outcomes, tenant.name);
-        windows += looked;
+        const { most, windows: windowsOfTenant } = busiestWindow(replay.outcomes, tenant.name);
+        windows += windowsOfTenant;
         if (most > allowedInWindow(tenant)) over += 1;
       }
     }
@@ -252,25 +259,25 @@
   });
 
   it('keeps a limit at 1,100 gateways', async () => {
-    const { replay, owner } = started(1_100, 1);
-    planDay(replay, owner, 1);
+    const { replay, owner } = startReplay(1_100, 1);
+    planRandomFaults(replay, owner, 1);
     for (let gateway = 0; gateway < 1_100; gateway += 1)
       replay.request(30_000, 'tenant-0', gateway);
-    await replay.runUntil(DAY_MS + 20_000);
-    for (const name of replay.tenants.keys()) expectWithinBound(replay, name);
+    await replay.runUntil(RUN_MS + 20_000);
+    for (const name of replay.tenants.keys()) expectWithinTolerance(replay, name);
   });
 });
 
 describe('costs of the limits', () => {
   it('refuses nothing more of others beside a tenant at eight times its limit', async () => {
     const refusedOfOthers = async (seed: number, hotFactor: number): Promise<number> => {
-      const { replay } = started(87, seed);
-      replay.limit('hot', 4, 4);
+      const { replay } = startReplay(87, seed);
+      replay.setLimit('hot', 4, 4);
       for (let other = 0; other < 20; other += 1) {
-        replay.limit(`other-${other}`, 0.5, 2);
-        replay.load(`other-${other}`, 0.4, 10 * SECOND, 60 * SECOND);
+        replay.setLimit(`other-${other}`, 0.5, 2);
+        replay.addPoissonLoad(`other-${other}`, 0.4, 10 * SECOND, 60 * SECOND);
       }
-      replay.load('hot', 4 * hotFactor, 10 * SECOND, 60 * SECOND);
+      replay.addPoissonLoad('hot', 4 * hotFactor, 10 * SECOND, 60 * SECOND);
       await replay.runUntil(70 * SECOND);
       const others = replay.outcomes.filter(({ tenant }) => tenant !== 'hot');
       return others.filter(({ isAdmitted }) => !isAdmitted).length;
@@ -282,10 +289,10 @@
 
   it('delays no request of a tenant beneath half its limit where each gateway has a share', async () => {
     for (const seed of SEEDS) {
-      const { replay } = started(8, seed);
-      replay.limit('one', 100, 50);
+      const { replay } = startReplay(8, seed);
+      replay.setLimit('one', 100, 50);
       // A gateway that has just started does not know how many there are.
-      replay.load('one', 45, 16 * SECOND, 40 * SECOND);
+      replay.addPoissonLoad('one', 45, 16 * SECOND, 40 * SECOND);
       await replay.runUntil(45 * SECOND);
       expect(replay.outcomes.filter(({ waited }) => waited)).toEqual([]);
     }
@@ -294,9 +301,9 @@
   it('sends messages in proportion to requests at most', async () => {
     const costs: number[] = [];
     for (const size of [8, 87, 1_100]) {
-      const { replay } = started(size, 1);
-      replay.limit('one', 40, 20);
-      replay.load('one', 36, 16 * SECOND, 46 * SECOND);
+      const { replay } = startReplay(size, 1);
+      replay.setLimit('one', 40, 20);
+      replay.addPoissonLoad('one', 36, 16 * SECOND, 46 * SECOND);
       await replay.runUntil(50 * SECOND);
       const requests = replay.outcomes.length;
       const waited = replay.outcomes.filter((outcome) => outcome.waited);
@@ -308,17 +315,17 @@
           `${(replay.bytes / requests).toFixed(0)} bytes a request, ` +
           `${(waited.length / requests).toFixed(3)} waited, ${longest} ms at most`,
       );
-      expect(refusedBeneath(replay.outcomes, tenantOf(replay, 'one'))).toBe(0);
-      expectWithinBound(replay, 'one');
+      expect(refusedBelowLimit(replay.outcomes, tenantOf(replay, 'one'))).toBe(0);
+      expectWithinTolerance(replay, 'one');
     }
     for (const cost of costs) expect(cost).toBeLessThanOrEqual(2.1);
   });
 
   /** A burst of one tenant, and what became of the refused callers that came back when told. */
-  async function playReturns(): Promise<Outcome[]> {
-    const { replay } = started(87, 1);
-    replay.limit('one', 10, 10);
-    replay.load('one', 80, 10 * SECOND, 11 * SECOND);
+  async function simulateRetries(): Promise<Outcome[]> {
+    const { replay } = startReplay(87, 1);
+    replay.setLimit('one', 10, 10);
+    replay.addPoissonLoad('one', 80, 10 * SECOND, 11 * SECOND);
     await replay.runUntil(12 * SECOND);
     const refused = replay.outcomes.filter(({ isAdmitted }) => !isAdmitted);
     expect(refused.length).toBeGreaterThan(20);
@@ -331,15 +338,15 @@
   }
 
   it('admits every refused caller that comes back when told', async () => {
-    const returned = await playReturns();
+    const returned = await simulateRetries();
     const admitted = returned.filter(({ isAdmitted }) => isAdmitted);
     expect(admitted).toHaveLength(returned.length);
   });
 
   it('adds less than a millisecond for tenants beneath half their limit at 87 gateways', async () => {
-    const { replay } = started(87, 1);
-    replay.limit('one', 20, 10);
-    replay.load('one', 9, 16 * SECOND, 46 * SECOND);
+    const { replay } = startReplay(87, 1);
+    replay.setLimit('one', 20, 10);
+    replay.addPoissonLoad('one', 9, 16 * SECOND, 46 * SECOND);
     await replay.runUntil(50 * SECOND);
     const waits = replay.outcomes.map(({ at, decidedAt }) => decidedAt - at);
     const late = waits.filter((wait) => wait >= 1);
@@ -347,7 +354,7 @@
   });
 
   it('tells refused callers different times', async () => {
-    const returned = await playReturns();
+    const returned = await simulateRetries();
     const times = returned.map(({ at }) => at).sort((left, right) => left - right);
     const together = times.map((end) => times.filter((at) => at > end - 200 && at <= end).length);
     expect(Math.max(...together)).toBeLessThanOrEqual(6);
--- a/test/tenants/quota-replay.ts
+++ b/test/tenants/quota-replay.ts
@@ -2,12 +2,12 @@
 import { seededRandom } from '../../lab/simulation/seeded-random.js';
 import type { QuotaSettings } from '../../src/configuration/tenant-settings.js';
 import type { Clock } from '../../src/seams/clock.js';
-import { boundsOf } from '../../src/tenants/quota-bounds.js';
+import { computeQuotaBounds } from '../../src/tenants/quota-bounds.js';
 import { QuotaClient } from '../../src/tenants/quota-client.js';
-import type { QuotaPath } from '../../src/tenants/quota-path.js';
+import type { QuotaDecisionPath } from '../../src/tenants/quota-decision-path.js';
 import {
   QUOTA_CODEC,
-  type QuotaAskMessage,
+  type TokenRequestMessage,
   type QuotaMessage,
 } from '../../src/tenants/quota-messages.js';
 import { QuotaOwner } from '../../src/tenants/quota-owner.js';
@@ -17,9 +17,9 @@
 
 export const SETTINGS: QuotaSettings = { windowMs: 5_000, overrun: 0.1, slack: 20 };
 /** Between gateways and owners, one way, at least and at most. Milliseconds. */
-const LEAST_DELAY_MS = 0.4;
+const MINIMUM_DELAY_MS = 0.4;
 const DELAY_SPREAD_MS = 1;
-const ANSWER_TIMEOUT_MS = 600;
+const RESPONSE_TIMEOUT_MS = 600;
 const EXPIRY_INTERVAL_MS = 100;
 
 /** A request as it was decided. Times are milliseconds. */
@@ -30,19 +30,19 @@
   decidedAt: number;
   isAdmitted: boolean;
   retryAfterMs: number;
-  path: QuotaPath | undefined;
+  path: QuotaDecisionPath | undefined;
   waited: boolean;
 }
 
-interface Event {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
 /** A binary heap by time, then by the order in which events were added. */
-class Events {
-  private readonly heap: Event[] = [];
+class EventQueue {
+  private readonly heap: ScheduledEvent[] = [];
   private order = 0;
 
   add(at: number, run: () => void): void {
@@ -56,15 +56,15 @@
     }
   }
 
-  take(until: number): Event | undefined {
+  take(until: number): ScheduledEvent | undefined {
     const [first] = this.heap;
     if (first === undefined || first.at > until) return undefined;
-    const last = this.heap.pop() as Event;
+    const last = this.heap.pop() as ScheduledEvent;
     if (this.heap.length > 0) this.sink(last);
     return first;
   }
 
-  private sink(event: Event): void {
+  private sink(event: ScheduledEvent): void {
     this.heap[0] = event;
     let index = 0;
     for (;;) {
@@ -79,14 +79,14 @@
   }
 
   private isBefore(left: number, right: number): boolean {
-    const one = this.heap[left] as Event;
-    const other = this.heap[right] as Event;
+    const one = this.heap[left] as ScheduledEvent;
+    const other = this.heap[right] as ScheduledEvent;
     return one.at < other.at || (one.at === other.at && one.order < other.order);
   }
 
   private swap(left: number, right: number): void {
-    const event = this.heap[left] as Event;
-    this.heap[left] = this.heap[right] as Event;
+    const event = this.heap[left] as ScheduledEvent;
+    this.heap[left] = this.heap[right] as ScheduledEvent;
     this.heap[right] = event;
   }
 }
@@ -95,8 +95,8 @@
   client: QuotaClient;
   owner: number | undefined;
   /** Number of the connection: what belongs to an earlier one is dropped. */
-  epoch: number;
-  isAsking: boolean;
+  connectionNumber: number;
+  isRoundInFlight: boolean;
   isExpiring: boolean;
 }
 
@@ -108,18 +108,18 @@
   readonly tenants = new Map<string, Tenant>();
   readonly owners: QuotaOwner[] = [];
   private readonly stopped = new Set<number>();
-  private readonly events = new Events();
+  private readonly events = new EventQueue();
   private readonly random;
   private readonly clock: Clock;
   private readonly gateways: ReplayGateway[] = [];
-  private lastPath: QuotaPath | undefined;
+  private lastPath: QuotaDecisionPath | undefined;
   private now = 0;
 
   /** What gateways are told of their number. */
-  countGateways = (): number | undefined => this.count;
+  countGateways = (): number | undefined => this.gatewayCount;
 
   constructor(
-    readonly count: number,
+    readonly gatewayCount: number,
     readonly seed: number,
     readonly settings: QuotaSettings = SETTINGS,
   ) {
@@ -128,11 +128,11 @@
       throw new Error('decisions have no timers');
     };
     this.clock = { now: () => this.now, wallTime: unused, setTimer: unused, sleep: unused };
-    for (let index = 0; index < count; index += 1) this.startGateway(index);
+    for (let index = 0; index < gatewayCount; index += 1) this.startGateway(index);
   }
 
   /** Puts a limit in force at all gateways and owners at once. */
-  limit(name: string, requestsPerSecond: number, burst: number): void {
+  setLimit(name: string, requestsPerSecond: number, burst: number): void {
     this.tenants.set(name, { name, requestsPerSecond, burst });
   }
 
@@ -141,8 +141,8 @@
     const owner = new QuotaOwner({
       clock: this.clock,
       settings: this.settings,
-      tenant: (name) => this.tenants.get(name),
-      onLimit: () => undefined,
+      findTenant: (name) => this.tenants.get(name),
+      onLimitReached: () => undefined,
     });
     return this.owners.push(owner) - 1;
   }
@@ -160,12 +160,12 @@
         random: seededRandom(this.seed, `gateway-${index}-${this.now}`),
         settings: this.settings,
         countGateways: () => this.countGateways(),
-        onWanted: () => this.wake(gateway),
+        onRequestQueued: () => this.handleRequestQueued(gateway),
         onDecision: (path) => (this.lastPath = path),
       }),
       owner: undefined,
-      epoch: 0,
-      isAsking: false,
+      connectionNumber: 0,
+      isRoundInFlight: false,
       isExpiring: false,
     };
     this.gateways[index] = gateway;
@@ -175,20 +175,20 @@
     const gateway = this.gateways[index] as ReplayGateway;
     if (gateway.owner !== undefined) this.disconnect(index);
     gateway.owner = owner;
-    gateway.client.connected();
-    this.ask(gateway);
+    gateway.client.handleConnected();
+    this.startRound(gateway);
   }
 
   connectAll(owner: number): void {
-    for (let index = 0; index < this.count; index += 1) this.connect(index, owner);
+    for (let index = 0; index < this.gatewayCount; index += 1) this.connect(index, owner);
   }
 
   disconnect(index: number): void {
     const gateway = this.gateways[index] as ReplayGateway;
-    this.drop(gateway);
+    this.dropConnection(gateway);
   }
 
-  at(time: number, run: () => void): void {
+  schedule(time: number, run: () => void): void {
     this.events.add(time, run);
   }
 
@@ -198,12 +198,12 @@
   }
 
   /** Poisson arrivals, a second, at gateways that `pick` chooses. */
-  load(
+  addPoissonLoad(
     tenant: string,
     perSecond: number,
     from: number,
     until: number,
-    pick = (): number => this.random.nextInteger(0, this.count - 1),
+    pick = (): number => this.random.nextInteger(0, this.gatewayCount - 1),
   ): void {
     let at = from;
     for (;;) {
@@ -248,7 +248,7 @@
       outcome.path = this.lastPath;
       if (!decision.isAdmitted || givenBackAfterMs === undefined) return;
       const takenAt = this.now;
-      this.at(takenAt + givenBackAfterMs, () => gateway.client.giveBack(limits, takenAt));
+      this.schedule(takenAt + givenBackAfterMs, () => gateway.client.returnToken(limits, takenAt));
     };
     const decision = gateway.client.take(limits);
     if (!(decision instanceof Promise)) {
@@ -259,59 +259,61 @@
     void decision.then(decided);
   }
 
-  private wake(gateway: ReplayGateway): void {
-    if (!gateway.isExpiring) this.expire(gateway);
+  private handleRequestQueued(gateway: ReplayGateway): void {
+    if (!gateway.isExpiring) this.scheduleExpiry(gateway);
     // The link sends from a task of its own.
-    this.at(this.now, () => this.ask(gateway));
+    this.schedule(this.now, () => this.startRound(gateway));
   }
 
-  private expire(gateway: ReplayGateway): void {
+  private scheduleExpiry(gateway: ReplayGateway): void {
     gateway.isExpiring = true;
-    this.at(this.now + EXPIRY_INTERVAL_MS, () => {
-      gateway.client.expire(EXPIRY_INTERVAL_MS);
+    this.schedule(this.now + EXPIRY_INTERVAL_MS, () => {
+      gateway.client.expireWaiting(EXPIRY_INTERVAL_MS);
       gateway.isExpiring = false;
-      if (gateway.client.hasWaiting) this.expire(gateway);
+      if (gateway.client.hasWaiting) this.scheduleExpiry(gateway);
     });
   }
 
-  private ask(gateway: ReplayGateway): void {
-    const { owner, epoch, client } = gateway;
-    if (owner === undefined || gateway.isAsking || !client.hasAsks) return;
-    const asks = client.takeAsks();
-    if (asks.length === 0) return;
-    gateway.isAsking = true;
-    this.countFrame(asks);
-    this.at(this.now + this.delay(), () => this.answer(gateway, owner, epoch, asks));
-    this.at(this.now + ANSWER_TIMEOUT_MS, () => {
-      if (gateway.epoch === epoch && gateway.isAsking && this.stopped.has(owner))
-        this.drop(gateway);
+  private startRound(gateway: ReplayGateway): void {
+    const { owner, connectionNumber: epoch, client } = gateway;
+    if (owner === undefined || gateway.isRoundInFlight || !client.hasRequests) return;
+    const requests = client.takeRequests();
+    if (requests.length === 0) return;
+    gateway.isRoundInFlight = true;
+    this.countFrame(requests);
+    this.schedule(this.now + this.delay(), () =>
+      this.deliverRound(gateway, owner, epoch, requests),
+    );
+    this.schedule(this.now + RESPONSE_TIMEOUT_MS, () => {
+      if (gateway.connectionNumber === epoch && gateway.isRoundInFlight && this.stopped.has(owner))
+        this.dropConnection(gateway);
     });
   }
 
-  private answer(
+  private deliverRound(
     gateway: ReplayGateway,
     owner: number,
     epoch: number,
-    asks: readonly QuotaAskMessage[],
+    requests: readonly TokenRequestMessage[],
   ): void {
-    const granting = this.owners[owner];
-    if (this.stopped.has(owner) || granting === undefined) return;
-    const answers = asks.map((ask) => granting.answer(ask));
-    this.countFrame(answers);
-    this.at(this.now + this.delay(), () => {
-      if (gateway.epoch !== epoch) return;
-      gateway.isAsking = false;
-      for (const answer of answers) gateway.client.takeAnswer(answer);
+    const respondingOwner = this.owners[owner];
+    if (this.stopped.has(owner) || respondingOwner === undefined) return;
+    const responses = requests.map((request) => respondingOwner.handleRequest(request));
+    this.countFrame(responses);
+    this.schedule(this.now + this.delay(), () => {
+      if (gateway.connectionNumber !== epoch) return;
+      gateway.isRoundInFlight = false;
+      for (const response of responses) gateway.client.handleResponse(response);
       gateway.client.endRound();
-      this.ask(gateway);
+      this.startRound(gateway);
     });
   }
 
-  private drop(gateway: ReplayGateway): void {
-    gateway.epoch += 1;
+  private dropConnection(gateway: ReplayGateway): void {
+    gateway.connectionNumber += 1;
     gateway.owner = undefined;
-    gateway.isAsking = false;
-    gateway.client.lost();
+    gateway.isRoundInFlight = false;
+    gateway.client.handleDisconnected();
   }
 
   private countFrame(messages: readonly QuotaMessage[]): void {
@@ -320,7 +322,7 @@
   }
 
   private delay(): number {
-    return LEAST_DELAY_MS + this.random.nextFloat() * DELAY_SPREAD_MS;
+    return MINIMUM_DELAY_MS + this.random.nextFloat() * DELAY_SPREAD_MS;
   }
 }
 
@@ -331,7 +333,7 @@
 }
 
 /** The fullest window that ends with an admitted request, and the number of such windows. */
-export function fullestWindow(
+export function busiestWindow(
   outcomes: readonly Outcome[],
   tenant: string,
   { windowMs }: QuotaSettings = SETTINGS,
@@ -353,29 +355,29 @@
 
 /** Requests that the limit alone, kept in one place, admits. */
 export function admittedByLimit(outcomes: readonly Outcome[], tenant: Tenant): number {
-  const bucket = strictBucket(tenant);
-  const mine = outcomes.filter((outcome) => outcome.tenant === tenant.name);
-  return mine.filter(({ at }) => bucket.take(1, 0, at) === 1).length;
+  const bucket = exactBucket(tenant);
+  const ofTenant = outcomes.filter((outcome) => outcome.tenant === tenant.name);
+  return ofTenant.filter(({ at }) => bucket.take(1, 0, at) === 1).length;
 }
 
 /**
  * Refused requests for which the limit, charged with everything of the tenant that was admitted,
  * still had a token: those lay beneath it.
  */
-export function refusedBeneath(outcomes: readonly Outcome[], tenant: Tenant): number {
-  const bucket = strictBucket(tenant);
-  const mine = outcomes
+export function refusedBelowLimit(outcomes: readonly Outcome[], tenant: Tenant): number {
+  const bucket = exactBucket(tenant);
+  const ofTenant = outcomes
     .filter((outcome) => outcome.tenant === tenant.name)
     .sort((left, right) => left.decidedAt - right.decidedAt);
   let refused = 0;
-  for (const { isAdmitted, decidedAt } of mine) {
+  for (const { isAdmitted, decidedAt } of ofTenant) {
     if (isAdmitted) bucket.charge(1, decidedAt);
-    else if (bucket.timeUntil(1, decidedAt) === 0) refused += 1;
+    else if (bucket.msUntil(1, decidedAt) === 0) refused += 1;
   }
   return refused;
 }
 
-function strictBucket(tenant: Tenant): TokenBucket {
+function exactBucket(tenant: Tenant): TokenBucket {
   const capacity = Math.max(1, tenant.burst);
-  return new TokenBucket({ ...boundsOf(tenant, SETTINGS), capacity }, 0, capacity);
+  return new TokenBucket({ ...computeQuotaBounds(tenant, SETTINGS), capacity }, 0, capacity);
 }
--- a/test/tenants/revocation-fleet.ts
+++ b/test/tenants/revocation-fleet.ts
@@ -14,7 +14,7 @@
 const CALLER_PORT = 8000;
 const CALL_INTERVAL_MS = 100;
 const PUT_INTERVAL_MS = 500;
-const SPREAD_MS = 3_000;
+const PROPAGATION_MS = 3_000;
 const DEADLINE_MS = 2_000;
 const KEYS = 12;
 
@@ -43,7 +43,7 @@
   private readonly keys = Array.from({ length: KEYS }, (_, index) => `key-${index}`);
   private version = 0;
   /** Taken away last, or next. */
-  private current = this.keys[0] ?? '';
+  private latestKey = this.keys[0] ?? '';
 
   private constructor(
     readonly harness: GatewayHarness,
@@ -86,14 +86,14 @@
     const document = this.nextDocument(hasTenants);
     const put = this.harness.group.putRoutes(this.harness.group.machineAt(0), document);
     expect((await put).status).toBe(200);
-    await this.simulation.runFor(SPREAD_MS);
+    await this.simulation.runFor(PROPAGATION_MS);
   }
 
   /** Takes the next key away, at whichever controller acknowledges it first. Not waited for. */
   revoke(): void {
     const key = this.keys.shift();
     if (key === undefined) throw new Error('no keys are left');
-    this.current = key;
+    this.latestKey = key;
     const document = this.nextDocument(true);
     for (const controller of this.controllers) void this.repeatPut(controller, key, document);
   }
@@ -176,7 +176,7 @@
   private async call(machine: SimulatedMachine): Promise<void> {
     const { clock } = this.harness.group.operator.environment;
     for (;;) {
-      for (const key of [KEPT_KEY, this.current]) {
+      for (const key of [KEPT_KEY, this.latestKey]) {
         void this.send(machine, key).catch(() => undefined);
       }
       await clock.sleep(CALL_INTERVAL_MS);
--- a/test/tenants/revocation.test.ts
+++ b/test/tenants/revocation.test.ts
@@ -7,12 +7,12 @@
 const SEEDS = [1, 2, 3, 4, 5, 6];
 const ROUNDS = 5;
 /** Longest freeze, and longest part of a cut before a key is taken away. Milliseconds. */
-const LONGEST_FREEZE_MS = 8_000;
-const LONGEST_PAUSE_MS = 2_000;
+const MAXIMUM_FREEZE_MS = 8_000;
+const MAXIMUM_REVOCATION_DELAY_MS = 2_000;
 /** In which everything recovers from a fault. Milliseconds. */
 const RECOVERY_MS = 6_000;
 /** Far past the end of every lease. Milliseconds. */
-const PAST_MS = 2 * BOUND_MS;
+const PAST_LEASES_MS = 2 * BOUND_MS;
 
 type Fault = (fleet: RevocationFleet, random: RandomSource) => void | Promise<void>;
 
@@ -23,8 +23,8 @@
 const FAULTS: readonly Fault[] = [
   (fleet, random) => fleet.isolateWith(pick(fleet.gateways, random), random.nextInteger(0, 2)),
   (fleet) => fleet.gateways.forEach((gateway) => fleet.isolate(gateway)),
-  (fleet, random) => pick(fleet.gateways, random).freeze(random.nextFloat() * LONGEST_FREEZE_MS),
-  (fleet, random) => pick(fleet.controllers, random).freeze(random.nextFloat() * LONGEST_FREEZE_MS),
+  (fleet, random) => pick(fleet.gateways, random).freeze(random.nextFloat() * MAXIMUM_FREEZE_MS),
+  (fleet, random) => pick(fleet.controllers, random).freeze(random.nextFloat() * MAXIMUM_FREEZE_MS),
   (fleet, random) => {
     fleet.simulation.changeLink(
       { to: { machine: pick(fleet.gateways, random).name } },
@@ -43,12 +43,12 @@
   },
 ];
 
-async function playRound(fleet: RevocationFleet, random: RandomSource): Promise<void> {
+async function runRound(fleet: RevocationFleet, random: RandomSource): Promise<void> {
   await pick(FAULTS, random)(fleet, random);
   if (random.nextFloat() < 0.3) await pick(FAULTS, random)(fleet, random);
-  await fleet.simulation.runFor(random.nextFloat() * LONGEST_PAUSE_MS);
+  await fleet.simulation.runFor(random.nextFloat() * MAXIMUM_REVOCATION_DELAY_MS);
   fleet.revoke();
-  await fleet.simulation.runFor(PAST_MS);
+  await fleet.simulation.runFor(PAST_LEASES_MS);
   fleet.simulation.healAll();
   await fleet.simulation.runFor(RECOVERY_MS);
 }
@@ -58,7 +58,7 @@
     const random = seededRandom(seed, 'faults');
     const fleet = await RevocationFleet.start(seed);
     fleet.startCallers();
-    for (let round = 0; round < ROUNDS; round += 1) await playRound(fleet, random);
+    for (let round = 0; round < ROUNDS; round += 1) await runRound(fleet, random);
     expect(fleet.violations).toEqual([]);
     expect(fleet.revokedAt.size).toBe(ROUNDS);
     const answered = [...fleet.sent.values()].filter(({ status }) => status === 200);
@@ -72,24 +72,24 @@
       fleet.startCallers();
       fleet.isolateWith(fleet.harness.machine, index);
       fleet.revoke();
-      await fleet.simulation.runFor(PAST_MS);
+      await fleet.simulation.runFor(PAST_LEASES_MS);
       expect(fleet.revokedAt.size).toBe(1);
       expect(fleet.violations).toEqual([]);
     },
   );
 
   it('runs on where controllers confirm by what they believe', async () => {
-    const found: number[] = [];
+    const violationCounts: number[] = [];
     for (const index of [0, 1, 2]) {
       const controlFaults = { skipFreshnessProof: true };
       const fleet = await RevocationFleet.start(7, { controlFaults });
       fleet.startCallers();
       fleet.isolateWith(fleet.harness.machine, index);
       fleet.revoke();
-      await fleet.simulation.runFor(PAST_MS);
-      found.push(fleet.violations.length);
+      await fleet.simulation.runFor(PAST_LEASES_MS);
+      violationCounts.push(fleet.violations.length);
     }
-    expect(Math.min(...found)).toBeGreaterThan(0);
+    expect(Math.min(...violationCounts)).toBeGreaterThan(0);
   });
 
   it('runs on at a gateway that is cut off where no bound is set', async () => {
@@ -97,7 +97,7 @@
     fleet.startCallers();
     fleet.isolate(fleet.harness.machine);
     fleet.revoke();
-    await fleet.simulation.runFor(PAST_MS);
+    await fleet.simulation.runFor(PAST_LEASES_MS);
     expect(fleet.violations.length).toBeGreaterThan(0);
   });
 });
@@ -122,7 +122,7 @@
   },
   {
     loss: 'is frozen',
-    begin: (_fleet, controller) => controller.freeze(PAST_MS),
+    begin: (_fleet, controller) => controller.freeze(PAST_LEASES_MS),
     end: () => undefined,
   },
 ];
@@ -135,7 +135,7 @@
       fleet.startCallers();
       for (const controller of fleet.controllers) {
         begin(fleet, controller);
-        await fleet.simulation.runFor(PAST_MS);
+        await fleet.simulation.runFor(PAST_LEASES_MS);
         await end(fleet, controller);
         await fleet.simulation.runFor(RECOVERY_MS);
       }
@@ -175,7 +175,7 @@
 });
 
 /** Questions that controllers have answered. */
-async function confirmations(fleet: RevocationFleet): Promise<number> {
+async function countConfirmations(fleet: RevocationFleet): Promise<number> {
   const name = 'driftway_controller_version_confirmations_total';
   const readings = fleet.controllers.map(async (machine) => {
     const metric = await fleet.harness.group.registryOf(machine).getSingleMetric(name)?.get();
@@ -187,9 +187,9 @@
 it('nothing is confirmed for a document without tenants', async () => {
   const fleet = await RevocationFleet.start(7);
   await fleet.putDocument(false);
-  const before = await confirmations(fleet);
+  const before = await countConfirmations(fleet);
   await fleet.harness.restartGateway();
-  await fleet.simulation.runFor(PAST_MS);
-  expect(await confirmations(fleet)).toBe(before);
+  await fleet.simulation.runFor(PAST_LEASES_MS);
+  expect(await countConfirmations(fleet)).toBe(before);
   expect(await fleet.harness.readyStatus()).toBe(200);
 });
--- a/test/tenants/usage-endpoint.test.ts
+++ b/test/tenants/usage-endpoint.test.ts
@@ -6,12 +6,12 @@
   const group = await ControllerGroup.start();
   const answers: unknown[] = [];
   for (const host of group.hosts) {
-    const reading = group.request<TenantUsageList>(host, '/v1/tenant-usage');
-    answers.push(await reading.catch((error: unknown) => String(error)));
+    const response = group.request<TenantUsageList>(host, '/v1/tenant-usage');
+    answers.push(await response.catch((error: unknown) => String(error)));
   }
-  const [told, ...others] = answers.filter((answer) => typeof answer === 'object');
+  const [reported, ...others] = answers.filter((answer) => typeof answer === 'object');
   expect(others).toEqual([]);
-  const { owner, tenants } = told as TenantUsageList;
+  const { owner, tenants } = reported as TenantUsageList;
   expect(tenants).toEqual([]);
   const refusals = answers.filter((answer) => typeof answer === 'string');
   expect(refusals.length).toBe(group.hosts.length - 1);
