--- a/lab/backend/backend-group.ts
+++ b/lab/backend/backend-group.ts
@@ -1,5 +1,5 @@
 /** The stand-in back ends of one process, by replica id. */
-import type { ReplicaState } from '../../src/model/replica-report.js';
+import type { ReplicaState } from '../../src/model/liveness-report.js';
 import type { Environment } from '../../src/seams/environment.js';
 import type { BackendLedger } from '../ledger/backend-ledger.js';
 import type { PlatformMachine } from '../platform/platform-list.js';
--- a/lab/measure/fixed-configuration-source.ts
+++ b/lab/measure/fixed-configuration-source.ts
@@ -1,7 +1,7 @@
 /** A configuration that never changes, for runs without controllers. */
 import { never } from '@most/core';
 import type { Stream } from '@most/types';
-import type { ReplicaReport } from '../../src/model/replica-report.js';
+import type { LivenessReport } from '../../src/model/liveness-report.js';
 import type {
   ConfigurationFreshness,
   ConfigurationSource,
@@ -11,7 +11,7 @@
 /** {@link ConfigurationSource} that is always fresh. */
 export class FixedConfigurationSource implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState> = never();
-  readonly replicaReports: Stream<ReplicaReport> = never();
+  readonly livenessReports: Stream<LivenessReport> = never();
 
   constructor(private readonly state: ConfigurationState) {}
 
--- a/src/control-stream/control-stream-client.ts
+++ b/src/control-stream/control-stream-client.ts
@@ -4,7 +4,7 @@
  */
 import type { Stream } from '@most/types';
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
-import type { ReplicaReport } from '../model/replica-report.js';
+import type { LivenessReport } from '../model/liveness-report.js';
 import type { Logger } from '../observability/logger.js';
 import type { Telemetry } from '../observability/telemetry.js';
 import type { Environment } from '../seams/environment.js';
@@ -36,7 +36,7 @@
 /** Implements {@link ConfigurationSource} over the control stream. */
 export class ControlStreamClient implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
-  readonly replicaReports: Stream<ReplicaReport>;
+  readonly livenessReports: Stream<LivenessReport>;
   private readonly context: SessionContext;
   private readonly selector: SourceSelector;
   private readonly logger: Logger;
@@ -56,7 +56,7 @@
     const metrics = new ClientMetrics(telemetry.registry, () => this.freshness().fresh);
     const daemonState = new DaemonState(faults, metrics);
     this.revisions = daemonState.revisions;
-    this.replicaReports = daemonState.replicaReports;
+    this.livenessReports = daemonState.livenessReports;
     this.logger = telemetry.logger.child({ component: 'control-stream' });
     this.selector = new SourceSelector(
       controllers,
@@ -100,9 +100,9 @@
     return { fresh, committedRevision: proof.committedRevision };
   }
 
-  reportReplicaState(report: ReplicaReport): void {
-    if (this.context.daemonState.recordOwnReplicaReport(report))
-      this.session?.sendReplicaReport(report);
+  reportReplicaState(report: LivenessReport): void {
+    if (this.context.daemonState.recordOwnLivenessReport(report))
+      this.session?.sendLivenessReport(report);
   }
 
   /** Member id of the controller with which a session is open or being opened, if any. */
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Logs the end of a session, unless it failed to start for the same reason as
-   * the previous one.
+   * Logs the end of a session, unless it failed to start and the previous session
+   * with the same controller ended for the same reason.
    */
   private logEnd({ endpoint, wasWelcomed, detail }: SourceSession, reason: SessionEnd): void {
     const controller = endpoint.memberId;
--- a/src/control-stream/control-stream-faults.ts
+++ b/src/control-stream/control-stream-faults.ts
@@ -15,9 +15,9 @@
   readonly ignoreApplyLag?: boolean;
   /** A controller removes a daemon as soon as the daemon's lease expires. */
   readonly forgetSilentDaemons?: boolean;
-  /** A controller does not forward daemon records and replica reports to other controllers. */
+  /** A controller does not forward daemon records and liveness reports to other controllers. */
   readonly withholdReports?: boolean;
-  /** Controllers and daemons accept replica reports that do not supersede the known one. */
+  /** Controllers and daemons accept liveness reports that do not supersede the known one. */
   readonly acceptOlderSigns?: boolean;
 }
 
--- a/src/control-stream/control-stream-server.ts
+++ b/src/control-stream/control-stream-server.ts
@@ -13,7 +13,7 @@
 import type { EncodedHistoryOptions } from './encoded-history.js';
 import { ServerMetrics } from './server-metrics.js';
 import { SharedReadBarrier } from './shared-read-barrier.js';
-import type { ReplicaReportTable } from './replica-report-table.js';
+import type { LivenessReportTable } from './liveness-report-table.js';
 import { StreamBroadcast } from './stream-broadcast.js';
 import { SubscriberSession, type SubscriberContext } from './subscriber-session.js';
 
@@ -27,7 +27,7 @@
   readonly feed: ConfigurationFeed;
   readonly log: Pick<ReplicatedLog, 'readBarrier' | 'status'>;
   readonly daemons: DaemonDirectory;
-  readonly replicaReports: ReplicaReportTable;
+  readonly livenessReports: LivenessReportTable;
   /** Called when there is an update to forward to other controllers. */
   readonly onUpdate: () => void;
   readonly historyOptions?: EncodedHistoryOptions;
@@ -47,14 +47,15 @@
     private readonly parts: ControlStreamServerParts,
     telemetry: Telemetry,
   ) {
-    const { clock, memberId, feed, log, daemons, replicaReports, onUpdate, historyOptions } = parts;
+    const { clock, memberId, feed, log, daemons, livenessReports, onUpdate, historyOptions } =
+      parts;
     const faults = parts.faults ?? NO_CONTROL_STREAM_FAULTS;
     const readStatus = (): ReturnType<ReplicatedLog['status']> => log.status();
     this.broadcast = new StreamBroadcast(
       clock,
       feed,
       readStatus,
-      replicaReports,
+      livenessReports,
       faults,
       historyOptions,
     );
@@ -63,7 +64,7 @@
       memberId,
       broadcast: this.broadcast,
       barrier: new SharedReadBarrier(log, clock, faults),
-      replicaReports,
+      livenessReports,
       daemons,
       metrics: new ServerMetrics(telemetry.registry),
       onUpdate,
@@ -91,7 +92,7 @@
   }
 
   /**
-   * Must be called after a replica report from anywhere but a subscriber was
+   * Must be called after a liveness report from anywhere but a subscriber was
    * recorded; sends it to subscribers.
    */
   notify(): void {
--- a/src/control-stream/controller-exchange.ts
+++ b/src/control-stream/controller-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Exchanges daemon records and replica reports between controllers. Each
+ * Exchanges daemon records and liveness reports between controllers. Each
  * controller keeps one connection to every other and sends its updates over
- * it. It forwards every replica report that is new to it, and forwards a daemon
+ * it. It forwards every liveness report that is new to it, and forwards a daemon
  * record to the controllers that are not connected to the record's own
  * controller, so that two controllers that are partitioned from each other
  * still learn of it through a third.
@@ -21,8 +21,8 @@
 import { ExchangeLink } from './exchange-link.js';
 import { ConnectedControllers } from './connected-controllers.js';
 import { SilenceGuard } from './silence-guard.js';
-import type { ReplicaReportTable } from './replica-report-table.js';
-import { fromReplicaReportMessage } from './replica-report-message.js';
+import type { LivenessReportTable } from './liveness-report-table.js';
+import { fromLivenessReportMessage } from './liveness-report-message.js';
 
 /** How often the connections are adjusted to the list of members. Milliseconds. */
 const MEMBERS_INTERVAL_MS = 1_000;
@@ -38,9 +38,9 @@
   readonly identity: LocalIdentity;
   readonly readMembers: () => readonly ReplicatedLogMember[];
   readonly daemons: DaemonDirectory;
-  readonly replicaReports: ReplicaReportTable;
-  /** Called after replica reports from another controller were recorded that were new here. */
-  readonly onReplicaReports: () => void;
+  readonly livenessReports: LivenessReportTable;
+  /** Called after liveness reports from another controller were recorded that were new here. */
+  readonly onLivenessReports: () => void;
   readonly faults?: ControlStreamFaults;
 }
 
@@ -66,7 +66,7 @@
     this.finished = this.followMembers();
   }
 
-  /** Must be called after a daemon record or replica report was recorded; wakes the senders. */
+  /** Must be called after a daemon record or liveness report was recorded; wakes the senders. */
   notify(): void {
     this.updates.notify();
   }
@@ -131,7 +131,7 @@
   }
 
   private handleMessages(messages: readonly ExchangeMessage[], peer: string): void {
-    let hasNewReplicaReport = false;
+    let hasNewLivenessReport = false;
     let hasNewDaemonRecord = false;
     for (const message of messages) {
       if (message.kind === 'daemon') {
@@ -141,15 +141,19 @@
       }
       if (message.kind === 'scopedSign') {
         const { scope, ...rest } = message;
-        const report = fromReplicaReportMessage({ ...rest, kind: 'sign' });
+        const report = fromLivenessReportMessage({ ...rest, kind: 'sign' });
         if (report === undefined) {
-          throw new MalformedMessageError('read exchange', peer, 'expected a valid replica report');
+          throw new MalformedMessageError(
+            'read exchange',
+            peer,
+            'expected a valid liveness report',
+          );
         }
-        hasNewReplicaReport =
-          this.parts.replicaReports.record({ scope, report }) || hasNewReplicaReport;
+        hasNewLivenessReport =
+          this.parts.livenessReports.record({ scope, report }) || hasNewLivenessReport;
       }
     }
-    if (hasNewReplicaReport) this.parts.onReplicaReports();
-    if (hasNewReplicaReport || hasNewDaemonRecord) this.notify();
+    if (hasNewLivenessReport) this.parts.onLivenessReports();
+    if (hasNewLivenessReport || hasNewDaemonRecord) this.notify();
   }
 }
--- a/src/control-stream/daemon-state.ts
+++ b/src/control-stream/daemon-state.ts
@@ -1,10 +1,10 @@
 /**
  * A daemon's state that outlives its sessions with single controllers: the
- * configuration in force, the proof of its freshness, and replica reports.
+ * configuration in force, the proof of its freshness, and liveness reports.
  */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
-import { supersedes, type ReplicaReport } from '../model/replica-report.js';
+import { supersedes, type LivenessReport } from '../model/liveness-report.js';
 import type { ConfigurationState } from '../settings/configuration-state.js';
 import type { ClientMetrics } from './client-metrics.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
@@ -14,24 +14,24 @@
 import { VersionedTable } from './versioned-table.js';
 
 /** Maximum number of replicas whose reports are kept. */
-export const MAXIMUM_REPLICA_REPORTS = 100_000;
+export const MAXIMUM_LIVENESS_REPORTS = 100_000;
 
-/** Shared by all sessions of one daemon; emits each revision and replica report that it accepts. */
+/** Shared by all sessions of one daemon; emits each revision and liveness report that it accepts. */
 export class DaemonState {
   readonly proof = new FreshnessProof();
   readonly revisions: Stream<ConfigurationState>;
-  readonly replicaReports: Stream<ReplicaReport>;
+  readonly livenessReports: Stream<LivenessReport>;
   /**
    * The latest report on each replica that this daemon observed itself; sent
    * again in each session.
    */
-  readonly ownReplicaReports = new VersionedTable<ReplicaReport>(MAXIMUM_REPLICA_REPORTS);
+  readonly ownLivenessReports = new VersionedTable<LivenessReport>(MAXIMUM_LIVENESS_REPORTS);
   readonly held: HeldConfiguration;
-  private readonly receivedReplicaReports = new VersionedTable<ReplicaReport>(
-    MAXIMUM_REPLICA_REPORTS,
+  private readonly receivedLivenessReports = new VersionedTable<LivenessReport>(
+    MAXIMUM_LIVENESS_REPORTS,
   );
   private readonly emitRevision: (state: ConfigurationState) => void;
-  private readonly emitReplicaReport: (report: ReplicaReport) => void;
+  private readonly emitLivenessReport: (report: LivenessReport) => void;
 
   constructor(
     private readonly faults: ControlStreamFaults,
@@ -39,7 +39,7 @@
   ) {
     this.held = new HeldConfiguration(faults);
     [this.emitRevision, this.revisions] = createAdapter<ConfigurationState>();
-    [this.emitReplicaReport, this.replicaReports] = createAdapter<ReplicaReport>();
+    [this.emitLivenessReport, this.livenessReports] = createAdapter<LivenessReport>();
   }
 
   /** Returns false if the snapshot's content does not match its hash. */
@@ -60,25 +60,25 @@
    * Records and emits a report by another daemon or the platform, if it is
    * newer than the known one.
    */
-  applyReplicaReport(report: ReplicaReport): void {
-    const known = this.receivedReplicaReports.get(report.replicaId);
+  applyLivenessReport(report: LivenessReport): void {
+    const known = this.receivedLivenessReports.get(report.replicaId);
     if (!this.isNewer(report, known)) return;
-    this.receivedReplicaReports.put(report.replicaId, report);
-    this.emitReplicaReport(report);
+    this.receivedLivenessReports.put(report.replicaId, report);
+    this.emitLivenessReport(report);
   }
 
   /**
    * Records a report by this daemon; returns whether it is newer than this
    * daemon's previous one.
    */
-  recordOwnReplicaReport(report: ReplicaReport): boolean {
-    const known = this.ownReplicaReports.get(report.replicaId);
+  recordOwnLivenessReport(report: LivenessReport): boolean {
+    const known = this.ownLivenessReports.get(report.replicaId);
     if (!this.isNewer(report, known)) return false;
-    this.ownReplicaReports.put(report.replicaId, report);
+    this.ownLivenessReports.put(report.replicaId, report);
     return true;
   }
 
-  private isNewer(report: ReplicaReport, known: ReplicaReport | undefined): boolean {
+  private isNewer(report: LivenessReport, known: LivenessReport | undefined): boolean {
     if (known === undefined || this.faults.acceptOlderSigns === true) return true;
     return supersedes(report, known);
   }
--- a/src/control-stream/exchange-link.ts
+++ b/src/control-stream/exchange-link.ts
@@ -31,7 +31,7 @@
    */
   private connectedToPeer: ReadonlySet<string> = NO_CONTROLLERS;
   private daemonPosition = 0;
-  private replicaReportPosition = 0;
+  private livenessReportPosition = 0;
   private lastSentAt = Number.NEGATIVE_INFINITY;
   private readonly finished: Promise<void>;
 
@@ -87,16 +87,16 @@
 
   /** Sends all updates anew on each connection, because the peer may have lost its state. */
   private async sendUpdates(connection: MessageConnection): Promise<void> {
-    const { daemons, replicaReports } = this.parts;
+    const { daemons, livenessReports } = this.parts;
     this.connectedToPeer = NO_CONTROLLERS;
     this.daemonPosition = 0;
-    this.replicaReportPosition = 0;
+    this.livenessReportPosition = 0;
     this.lastSentAt = Number.NEGATIVE_INFINITY;
     while (!this.stopped.signal.aborted) {
       const nextUpdate = this.updates.wait(KEEP_ALIVE_INTERVAL_MS);
       const messages = this.nextMessages();
       this.daemonPosition = daemons.position;
-      this.replicaReportPosition = replicaReports.position;
+      this.livenessReportPosition = livenessReports.position;
       for (let start = 0; start < messages.length; start += MESSAGES_PER_FRAME) {
         const batch = messages.slice(start, start + MESSAGES_PER_FRAME);
         await connection.send(EXCHANGE_CODEC.encodeBatch(batch));
@@ -149,10 +149,10 @@
       .changedAfter(this.daemonPosition)
       .filter(({ record }) => this.shouldSend(record))
       .map(({ record, silentMs }) => ({ kind: 'daemon' as const, ...record, silentMs }));
-    const replicaReports = this.parts.replicaReports
-      .changedAfter(this.replicaReportPosition)
+    const livenessReports = this.parts.livenessReports
+      .changedAfter(this.livenessReportPosition)
       .map(({ scope, report }) => ({ kind: 'scopedSign' as const, scope, ...report }));
-    return this.parts.faults?.withholdReports === true ? [] : [...daemons, ...replicaReports];
+    return this.parts.faults?.withholdReports === true ? [] : [...daemons, ...livenessReports];
   }
 
   /** Updates for the peer; a keep-alive if there are none and it is due; otherwise nothing. */
--- a/src/control-stream/exchange-messages.ts
+++ b/src/control-stream/exchange-messages.ts
@@ -1,4 +1,4 @@
-/** Messages by which controllers exchange daemon records and replica reports. */
+/** Messages by which controllers exchange daemon records and liveness reports. */
 import { MessageCodec } from '../protocol/message-codec.js';
 import type { DaemonRecord } from './daemon-record.js';
 
@@ -10,7 +10,7 @@
 }
 
 /** A report on a replica's state, and the zone for which it is valid. */
-export interface ScopedReplicaReportMessage {
+export interface ScopedLivenessReportMessage {
   readonly kind: 'scopedSign';
   /** Name of the zone; empty for all zones. */
   readonly scope: string;
@@ -36,7 +36,7 @@
 }
 
 export type ExchangeMessage =
-  DaemonMessage | ScopedReplicaReportMessage | KeepAliveMessage | HearingMessage;
+  DaemonMessage | ScopedLivenessReportMessage | KeepAliveMessage | HearingMessage;
 
 export const EXCHANGE_CODEC = new MessageCodec<ExchangeMessage>({
   daemon: {
--- a/src/control-stream/replica-report-message.ts
+++ b/src/control-stream/liveness-report-message.ts
@@ -1,18 +1,20 @@
-/** Converts replica reports to and from their wire message, whose kind is `sign`. */
+/** Converts liveness reports to and from their wire message, whose kind is `sign`. */
 import { nameSchema } from '../model/service-definition.js';
 import {
   REPLICA_STATE_RANK,
-  type ReplicaReport,
+  type LivenessReport,
   type ReplicaState,
-} from '../model/replica-report.js';
-import type { ReplicaReportMessage } from './stream-messages.js';
+} from '../model/liveness-report.js';
+import type { LivenessReportMessage } from './stream-messages.js';
 
-export function toReplicaReportMessage(report: ReplicaReport): ReplicaReportMessage {
+export function toLivenessReportMessage(report: LivenessReport): LivenessReportMessage {
   return { kind: 'sign', ...report };
 }
 
 /** Returns undefined if the state is unknown, or a name in the message is invalid. */
-export function fromReplicaReportMessage(message: ReplicaReportMessage): ReplicaReport | undefined {
+export function fromLivenessReportMessage(
+  message: LivenessReportMessage,
+): LivenessReport | undefined {
   const { replicaId, incarnation, state, observedBy } = message;
   if (!Object.hasOwn(REPLICA_STATE_RANK, state)) return undefined;
   if (!nameSchema.safeParse(replicaId).success) return undefined;
--- a/src/control-stream/replica-report-table.ts
+++ b/src/control-stream/liveness-report-table.ts
@@ -5,9 +5,9 @@
  * valid in the router's zone only, since the cause may be a partition of that
  * zone.
  */
-import { supersedes, type ReplicaReport } from '../model/replica-report.js';
+import { supersedes, type LivenessReport } from '../model/liveness-report.js';
 import { NO_CONTROL_STREAM_FAULTS, type ControlStreamFaults } from './control-stream-faults.js';
-import { toReplicaReportMessage } from './replica-report-message.js';
+import { toLivenessReportMessage } from './liveness-report-message.js';
 import { STREAM_CODEC } from './stream-messages.js';
 import { VersionedTable } from './versioned-table.js';
 
@@ -20,26 +20,26 @@
 /** Maximum number of pairs of scope and replica whose reports are kept. */
 const MAXIMUM_ENTRIES = 100_000;
 
-/** A replica report and the zone in which it is valid. */
-export interface ScopedReplicaReport {
+/** A liveness report and the zone in which it is valid. */
+export interface ScopedLivenessReport {
   /** Name of a zone, or {@link ALL_ZONES}. */
   readonly scope: string;
-  readonly report: ReplicaReport;
+  readonly report: LivenessReport;
 }
 
-interface TableEntry extends ScopedReplicaReport {
+interface TableEntry extends ScopedLivenessReport {
   /** The report's message, encoded once for all subscribers. */
   readonly bytes: Uint8Array;
 }
 
 /** Scope in which a report by an observer in `zone` is valid. */
-export function scopeOf(report: ReplicaReport, zone: string): string {
+export function scopeOf(report: LivenessReport, zone: string): string {
   const inferred = report.state === 'gone' && report.observedBy !== PLATFORM_OBSERVER;
   return inferred ? zone : ALL_ZONES;
 }
 
 /** The newest report by scope and replica; its readers keep positions. */
-export class ReplicaReportTable {
+export class LivenessReportTable {
   private readonly table = new VersionedTable<TableEntry>(MAXIMUM_ENTRIES);
 
   constructor(private readonly faults: ControlStreamFaults = NO_CONTROL_STREAM_FAULTS) {}
@@ -49,15 +49,15 @@
   }
 
   /** Records a report unless a known one is as new or newer; returns whether it was recorded. */
-  record({ scope, report }: ScopedReplicaReport): boolean {
+  record({ scope, report }: ScopedLivenessReport): boolean {
     if (this.isKnown(scope, report) || this.isKnown(ALL_ZONES, report)) return false;
-    const bytes = STREAM_CODEC.encode(toReplicaReportMessage(report));
+    const bytes = STREAM_CODEC.encode(toLivenessReportMessage(report));
     this.table.put(`${scope}/${report.replicaId}`, { scope, report, bytes });
     return true;
   }
 
   /** Reports of all scopes that changed after `position`, for another controller. */
-  changedAfter(position: number): readonly ScopedReplicaReport[] {
+  changedAfter(position: number): readonly ScopedLivenessReport[] {
     return this.table.changedAfter(position);
   }
 
@@ -73,7 +73,7 @@
     return Buffer.concat(changed.map(({ bytes }) => bytes));
   }
 
-  private isKnown(scope: string, report: ReplicaReport): boolean {
+  private isKnown(scope: string, report: LivenessReport): boolean {
     if (this.faults.acceptOlderSigns === true) return false;
     const known = this.table.get(`${scope}/${report.replicaId}`)?.report;
     return known !== undefined && !supersedes(report, known);
--- a/src/control-stream/source-selector.ts
+++ b/src/control-stream/source-selector.ts
@@ -92,7 +92,10 @@
     candidate.retryAt = now + this.backOff(candidate.failures);
   }
 
-  /** Resets the back-off of a controller that a probe found healthy. */
+  /**
+   * Resets the back-off of a controller that a probe found healthy, so that it is
+   * tried before the controllers of other zones again.
+   */
   recordHealthy(endpoint: ControllerEndpoint): void {
     const candidate = this.candidateOf(endpoint);
     if (candidate === undefined) return;
--- a/src/control-stream/source-session.ts
+++ b/src/control-stream/source-session.ts
@@ -3,11 +3,11 @@
  * subscribes, then handles messages until either side ends the session.
  */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
-import type { ReplicaReport } from '../model/replica-report.js';
+import type { LivenessReport } from '../model/liveness-report.js';
 import type { AcceptedChange } from '../settings/accepted-change.js';
 import type { SessionContext } from './session-context.js';
 import type { SessionEnd } from './session-end.js';
-import { fromReplicaReportMessage, toReplicaReportMessage } from './replica-report-message.js';
+import { fromLivenessReportMessage, toLivenessReportMessage } from './liveness-report-message.js';
 import { SnapshotAssembler } from './snapshot-assembler.js';
 import { SourceLink } from './source-link.js';
 import {
@@ -16,7 +16,7 @@
   type GoodbyeMessage,
   type HeartbeatMessage,
   type ResyncReason,
-  type ReplicaReportMessage,
+  type LivenessReportMessage,
   type SnapshotBeginMessage,
   type SnapshotChunkMessage,
   type StreamMessage,
@@ -87,8 +87,8 @@
     void this.link.send({ kind: 'report', sequence, revision: daemonState.held.revision });
   }
 
-  sendReplicaReport(report: ReplicaReport): void {
-    void this.link.send(toReplicaReportMessage(report));
+  sendLivenessReport(report: LivenessReport): void {
+    void this.link.send(toLivenessReportMessage(report));
   }
 
   private handle(message: StreamMessage): void {
@@ -104,7 +104,7 @@
       case 'heartbeat':
         return this.handleHeartbeat(message);
       case 'sign':
-        return this.handleReplicaReport(message);
+        return this.handleLivenessReport(message);
       case 'goodbye':
         return this.handleGoodbye(message);
       default:
@@ -126,8 +126,8 @@
       return;
     }
     this.link.watch.recordWelcome(sourceTime, provenFresh, context.environment.clock.now());
-    for (const report of context.daemonState.ownReplicaReports.values())
-      this.sendReplicaReport(report);
+    for (const report of context.daemonState.ownLivenessReports.values())
+      this.sendLivenessReport(report);
   }
 
   private handleSnapshotBegin(message: SnapshotBeginMessage): void {
@@ -186,10 +186,10 @@
     if (daemonState.held.isBehind(committedRevision)) this.requestSnapshot('gap');
   }
 
-  private handleReplicaReport(message: ReplicaReportMessage): void {
-    const report = fromReplicaReportMessage(message);
-    if (report === undefined) throw this.link.malformed('expected a valid replica report');
-    this.context.daemonState.applyReplicaReport(report);
+  private handleLivenessReport(message: LivenessReportMessage): void {
+    const report = fromLivenessReportMessage(message);
+    if (report === undefined) throw this.link.malformed('expected a valid liveness report');
+    this.context.daemonState.applyLivenessReport(report);
   }
 
   private handleGoodbye({ reason }: GoodbyeMessage): void {
--- a/src/control-stream/state-hash.ts
+++ b/src/control-stream/state-hash.ts
@@ -1,7 +1,7 @@
 /**
- * Hashes a whole configuration, so that equal content has an equal hash. Parts
- * are immutable and each is hashed once, so that hashing after a change costs
- * only the parts that the change replaced.
+ * Hashes a whole configuration: equal content has an equal hash, different
+ * content a different one. Parts are immutable and each is hashed once, so that
+ * hashing after a change costs only the parts that the change replaced.
  */
 import { xxh64 } from '@node-rs/xxhash';
 import type { ConfigurationState } from '../settings/configuration-state.js';
--- a/src/control-stream/stream-broadcast.ts
+++ b/src/control-stream/stream-broadcast.ts
@@ -9,17 +9,17 @@
 import type { ConfigurationFeed } from './configuration-feed.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
 import { EncodedHistory, type EncodedHistoryOptions } from './encoded-history.js';
-import type { ReplicaReportTable } from './replica-report-table.js';
+import type { LivenessReportTable } from './liveness-report-table.js';
 import { STREAM_CODEC } from './stream-messages.js';
 import { HEARTBEAT_INTERVAL_MS } from './stream-timing.js';
 
 /** Replica reports recorded within this time are sent in one frame. Milliseconds. */
-const REPLICA_REPORT_BATCH_MS = 20;
+const LIVENESS_REPORT_BATCH_MS = 20;
 
 /** How much of the broadcast one subscriber has been sent. */
 export interface BroadcastPosition {
   heldRevision: number;
-  replicaReportPosition: number;
+  livenessReportPosition: number;
   heartbeatNumber: number;
 }
 
@@ -37,7 +37,7 @@
     private readonly clock: Clock,
     feed: ConfigurationFeed,
     private readonly readStatus: () => ReplicatedLogStatus,
-    readonly replicaReports: ReplicaReportTable,
+    readonly livenessReports: LivenessReportTable,
     faults: ControlStreamFaults,
     options?: EncodedHistoryOptions,
   ) {
@@ -67,9 +67,12 @@
   takeFrames(position: BroadcastPosition, zone: string): Uint8Array[] {
     const frames = [...this.history.framesAfter(position.heldRevision)];
     position.heldRevision = Math.max(position.heldRevision, this.history.revision);
-    const replicaReportFrame = this.replicaReports.frameAfter(position.replicaReportPosition, zone);
-    position.replicaReportPosition = this.replicaReports.position;
-    if (replicaReportFrame !== undefined) frames.push(replicaReportFrame);
+    const livenessReportFrame = this.livenessReports.frameAfter(
+      position.livenessReportPosition,
+      zone,
+    );
+    position.livenessReportPosition = this.livenessReports.position;
+    if (livenessReportFrame !== undefined) frames.push(livenessReportFrame);
     frames.push(...this.takeHeartbeat(position));
     return frames;
   }
@@ -85,11 +88,11 @@
   }
 
   /**
-   * Must be called after a replica report was recorded; notifies subscribers
+   * Must be called after a liveness report was recorded; notifies subscribers
    * once per batch interval.
    */
   notifyAfterBatch(): void {
-    this.batchTimer ??= this.clock.setTimer(REPLICA_REPORT_BATCH_MS, () => {
+    this.batchTimer ??= this.clock.setTimer(LIVENESS_REPORT_BATCH_MS, () => {
       this.batchTimer = undefined;
       this.updates.notify();
     });
--- a/src/control-stream/stream-messages.ts
+++ b/src/control-stream/stream-messages.ts
@@ -73,7 +73,7 @@
 }
 
 /** A report on a replica's state, in either direction. */
-export interface ReplicaReportMessage {
+export interface LivenessReportMessage {
   readonly kind: 'sign';
   readonly replicaId: string;
   readonly incarnation: number;
@@ -111,7 +111,7 @@
   | SnapshotChunkMessage
   | DeltaMessage
   | HeartbeatMessage
-  | ReplicaReportMessage
+  | LivenessReportMessage
   | RevisionReportMessage
   | ResyncMessage
   | GoodbyeMessage;
--- a/src/control-stream/subscriber-session.ts
+++ b/src/control-stream/subscriber-session.ts
@@ -7,16 +7,16 @@
 import type { DaemonRecord } from './daemon-record.js';
 import type { ServerMetrics } from './server-metrics.js';
 import type { SharedReadBarrier } from './shared-read-barrier.js';
-import { scopeOf, type ReplicaReportTable } from './replica-report-table.js';
+import { scopeOf, type LivenessReportTable } from './liveness-report-table.js';
 import { SilenceGuard } from './silence-guard.js';
-import { fromReplicaReportMessage } from './replica-report-message.js';
+import { fromLivenessReportMessage } from './liveness-report-message.js';
 import type { BroadcastPosition, StreamBroadcast } from './stream-broadcast.js';
 import {
   NO_REVISION,
   STREAM_CODEC,
   type GoodbyeReason,
   type RevisionReportMessage,
-  type ReplicaReportMessage,
+  type LivenessReportMessage,
   type StreamMessage,
   type SubscribeMessage,
 } from './stream-messages.js';
@@ -32,7 +32,7 @@
   readonly memberId: string;
   readonly broadcast: StreamBroadcast;
   readonly barrier: SharedReadBarrier;
-  readonly replicaReports: ReplicaReportTable;
+  readonly livenessReports: LivenessReportTable;
   readonly daemons: DaemonDirectory;
   readonly metrics: ServerMetrics;
   /** Called when there is an update to forward to other controllers. */
@@ -43,7 +43,7 @@
 export class SubscriberSession {
   private readonly position: BroadcastPosition = {
     heldRevision: NO_REVISION,
-    replicaReportPosition: 0,
+    livenessReportPosition: 0,
     heartbeatNumber: 0,
   };
   private record: DaemonRecord | undefined;
@@ -162,7 +162,7 @@
       case 'report':
         return this.handleRevisionReport(message);
       case 'sign':
-        return this.handleReplicaReport(message, zone);
+        return this.handleLivenessReport(message, zone);
       case 'resync':
         this.context.metrics.resyncs.inc({ reason: message.reason });
         this.snapshotRequested = true;
@@ -199,11 +199,11 @@
     this.update({ ...this.record, sequence: this.record.sequence + 1, left: true });
   }
 
-  private handleReplicaReport(message: ReplicaReportMessage, zone: string): void {
-    const report = fromReplicaReportMessage(message);
-    if (report === undefined) throw this.malformed('expected a valid replica report');
+  private handleLivenessReport(message: LivenessReportMessage, zone: string): void {
+    const report = fromLivenessReportMessage(message);
+    if (report === undefined) throw this.malformed('expected a valid liveness report');
     const scoped = { scope: scopeOf(report, zone), report };
-    if (!this.context.replicaReports.record(scoped)) return;
+    if (!this.context.livenessReports.record(scoped)) return;
     this.context.broadcast.notifyAfterBatch();
     this.context.onUpdate();
   }
--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -8,7 +8,7 @@
 import { ControlStreamServer } from '../control-stream/control-stream-server.js';
 import { ControllerExchange } from '../control-stream/controller-exchange.js';
 import { DaemonDirectory } from '../control-stream/daemon-directory.js';
-import { ReplicaReportTable } from '../control-stream/replica-report-table.js';
+import { LivenessReportTable } from '../control-stream/liveness-report-table.js';
 import { CONNECT_TIMEOUT_MS } from '../control-stream/stream-timing.js';
 import { EvacuationOrders } from '../evacuations/evacuation-orders.js';
 import { EvacuationRegister } from '../evacuations/evacuation-register.js';
@@ -46,7 +46,7 @@
   readonly log: RaftNode;
   readonly machine: ConfigurationStateMachine;
   readonly daemons: DaemonDirectory;
-  readonly signs: ReplicaReportTable;
+  readonly signs: LivenessReportTable;
   readonly server: ControlStreamServer;
   readonly exchange: ControllerExchange;
   readonly registration: RegistrationPart;
@@ -103,7 +103,7 @@
 ): ControlStreamParts {
   const { clock } = environment;
   const daemons = new DaemonDirectory(clock, faults);
-  const signs = new ReplicaReportTable(faults);
+  const signs = new LivenessReportTable(faults);
   const onNews = (): void => exchange.notify();
   const server = new ControlStreamServer(
     {
@@ -112,7 +112,7 @@
       feed: machine,
       log,
       daemons,
-      replicaReports: signs,
+      livenessReports: signs,
       onUpdate: onNews,
       faults,
     },
@@ -126,8 +126,8 @@
       identity,
       readMembers,
       daemons,
-      replicaReports: signs,
-      onReplicaReports: onSigns,
+      livenessReports: signs,
+      onLivenessReports: onSigns,
       faults,
     },
     telemetry,
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -8,8 +8,8 @@
 import {
   ALL_ZONES,
   PLATFORM_OBSERVER,
-  type ReplicaReportTable,
-} from '../control-stream/replica-report-table.js';
+  type LivenessReportTable,
+} from '../control-stream/liveness-report-table.js';
 import { nameSchema } from '../model/service-definition.js';
 import {
   EntrySource,
@@ -55,7 +55,7 @@
   constructor(
     private readonly environment: Environment,
     address: Address,
-    private readonly signs: ReplicaReportTable,
+    private readonly signs: LivenessReportTable,
     private readonly onSigns: () => void,
     private readonly unusable: UnusableEntries,
     telemetry: Telemetry,
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -1,6 +1,6 @@
 /** All that this router knows of one replica. */
 import type { BackendReport } from '../model/backend-protocol.js';
-import { supersedes, type ReplicaReport } from '../model/replica-report.js';
+import { supersedes, type LivenessReport } from '../model/liveness-report.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import type { ReplicaProcess } from '../policies/outlier-ejection.js';
 import type { ReplicaView } from '../policies/replica-selector.js';
@@ -21,7 +21,7 @@
   private readonly latency = new SmoothedValue(LATENCY_WEIGHT);
   private readonly failures = new SmoothedValue(FAILURE_WEIGHT);
   private readonly snapshots = new HeldSnapshots();
-  private sign: ReplicaReport | undefined;
+  private sign: LivenessReport | undefined;
   private firstSeen: number;
   private missedReports = 0;
   private lastLoad: { readonly load: number; readonly at: number } | undefined;
@@ -30,7 +30,7 @@
     readonly replica: ReplicaDefinition,
     readonly channel: ReplicaChannel,
     private readonly clock: Clock,
-    knownSign?: ReplicaReport,
+    knownSign?: LivenessReport,
   ) {
     this.sign = knownSign;
     this.firstSeen = clock.now();
@@ -57,7 +57,7 @@
     return this.clock.now() - this.firstSeen;
   }
 
-  get knownSign(): ReplicaReport | undefined {
+  get knownSign(): LivenessReport | undefined {
     return this.sign;
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** Takes a sign over unless something newer is known; true when it was news. */
-  applySign(sign: ReplicaReport): boolean {
+  applySign(sign: LivenessReport): boolean {
     const known = this.sign;
     if (known !== undefined && !supersedes(sign, known)) return false;
     this.sign = sign;
--- a/src/membership/replica-registry.ts
+++ b/src/membership/replica-registry.ts
@@ -5,7 +5,7 @@
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
 import type { BackendReport } from '../model/backend-protocol.js';
-import { supersedes, type ReplicaReport } from '../model/replica-report.js';
+import { supersedes, type LivenessReport } from '../model/liveness-report.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import type { Logger } from '../observability/logger.js';
 import type { RouterFaults } from '../router/router-faults.js';
@@ -45,17 +45,17 @@
   /** Grows whenever what may be sent where has changed; caches of plans compare it. */
   generation = 0;
   /** Signs first seen here, to be told to others. */
-  readonly ownSigns: Stream<ReplicaReport>;
-  private readonly emitSign: (sign: ReplicaReport) => void;
+  readonly ownSigns: Stream<LivenessReport>;
+  private readonly emitSign: (sign: LivenessReport) => void;
   private readonly entries = new Map<string, Entry>();
   /** Newest sign of each replica that is not in the configuration, yet or any more. */
-  private readonly otherSigns = new Map<string, ReplicaReport>();
+  private readonly otherSigns = new Map<string, LivenessReport>();
 
   constructor(
     private readonly environment: Environment,
     private readonly options: RegistryOptions,
   ) {
-    [this.emitSign, this.ownSigns] = createAdapter<ReplicaReport>();
+    [this.emitSign, this.ownSigns] = createAdapter<LivenessReport>();
   }
 
   get(replicaId: string): ReplicaRecord | undefined {
@@ -82,7 +82,7 @@
   }
 
   /** Joins a sign from another daemon or the platform list. */
-  applySign(sign: ReplicaReport): boolean {
+  applySign(sign: LivenessReport): boolean {
     const record = this.get(sign.replicaId);
     if (record === undefined) this.keepOtherSign(sign);
     if (record === undefined || !record.applySign(sign)) return false;
@@ -129,7 +129,7 @@
     await Promise.all(entries.map(({ record }) => record.channel.close()));
   }
 
-  private keepOtherSign(sign: ReplicaReport): void {
+  private keepOtherSign(sign: LivenessReport): void {
     const known = this.otherSigns.get(sign.replicaId);
     if (known !== undefined && !supersedes(sign, known)) return;
     this.otherSigns.delete(sign.replicaId);
@@ -143,7 +143,7 @@
     const { replicaId } = record.replica;
     const known = record.knownSign;
     const state = draining ? 'draining' : 'live';
-    const sign: ReplicaReport = {
+    const sign: LivenessReport = {
       replicaId,
       incarnation,
       state,
--- a/src/model/replica-report.ts
+++ b/src/model/liveness-report.ts
@@ -11,7 +11,7 @@
 };
 
 /** One sign of life, leaving or loss. */
-export interface ReplicaReport {
+export interface LivenessReport {
   readonly replicaId: string;
   /** Of the back-end process. A larger one replaces everything known of smaller ones. */
   readonly incarnation: number;
@@ -21,7 +21,7 @@
 }
 
 /** Whether `candidate` tells something newer than `known` about the same replica. */
-export function supersedes(candidate: ReplicaReport, known: ReplicaReport): boolean {
+export function supersedes(candidate: LivenessReport, known: LivenessReport): boolean {
   if (candidate.incarnation !== known.incarnation) {
     return candidate.incarnation > known.incarnation;
   }
--- a/src/settings/configuration-source.ts
+++ b/src/settings/configuration-source.ts
@@ -1,6 +1,6 @@
 /** How a daemon learns the configuration: a stream of revisions, newest held. */
 import type { Stream } from '@most/types';
-import type { ReplicaReport } from '../model/replica-report.js';
+import type { LivenessReport } from '../model/liveness-report.js';
 import type { ConfigurationState } from './configuration-state.js';
 
 /** How far the held configuration can be trusted. */
@@ -19,9 +19,9 @@
   /** Every later revision, in order, each higher than the one before. */
   readonly revisions: Stream<ConfigurationState>;
   /** Signs that other daemons of the zone and the platform list gave of replicas. */
-  readonly replicaReports: Stream<ReplicaReport>;
+  readonly livenessReports: Stream<LivenessReport>;
   /** Tells the other daemons of the zone. Best effort; a lost sign is seen again. */
-  reportReplicaState(report: ReplicaReport): void;
+  reportReplicaState(report: LivenessReport): void;
   /** Leaves the source politely. */
   close(): Promise<void>;
 }
--- a/test/control-stream/controller-fixture.ts
+++ b/test/control-stream/controller-fixture.ts
@@ -11,7 +11,7 @@
 import { ControllerExchange } from '../../src/control-stream/controller-exchange.js';
 import { DaemonDirectory } from '../../src/control-stream/daemon-directory.js';
 import type { EncodedHistoryOptions } from '../../src/control-stream/encoded-history.js';
-import { ReplicaReportTable } from '../../src/control-stream/replica-report-table.js';
+import { LivenessReportTable } from '../../src/control-stream/liveness-report-table.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import { AuthenticatedListener } from '../../src/protocol/authenticated-listener.js';
 import { formatAddress } from '../../src/seams/address.js';
@@ -85,7 +85,7 @@
   readonly machine: ConfigurationStateMachine;
   readonly log: TestLog;
   readonly daemons: DaemonDirectory;
-  readonly replicaReports = new ReplicaReportTable();
+  readonly livenessReports = new LivenessReportTable();
   readonly registry = new Registry();
   server!: ControlStreamServer;
   exchange!: ControllerExchange;
@@ -141,7 +141,7 @@
     const { environment, name } = this.host;
     const telemetry = { logger: SILENT_LOGGER, registry: this.registry };
     const identity = { clusterId: CLUSTER.id, clusterKey: CLUSTER.key, name };
-    const { daemons, replicaReports, log } = this;
+    const { daemons, livenessReports, log } = this;
     this.server = new ControlStreamServer(
       {
         clock: environment.clock,
@@ -149,7 +149,7 @@
         feed: this.machine,
         log,
         daemons,
-        replicaReports,
+        livenessReports,
         onUpdate: () => this.exchange.notify(),
         ...(this.historyOptions === undefined ? {} : { historyOptions: this.historyOptions }),
       },
@@ -161,8 +161,8 @@
         identity,
         readMembers: () => this.log.members,
         daemons,
-        replicaReports,
-        onReplicaReports: () => this.server.notify(),
+        livenessReports,
+        onLivenessReports: () => this.server.notify(),
       },
       telemetry,
     );
--- a/test/control-stream/daemon-fixture.ts
+++ b/test/control-stream/daemon-fixture.ts
@@ -7,7 +7,7 @@
 } from '../../src/control-stream/control-stream-client.js';
 import type { ControlStreamFaults } from '../../src/control-stream/control-stream-faults.js';
 import { observe } from '../../src/control-stream/observe.js';
-import type { ReplicaReport } from '../../src/model/replica-report.js';
+import type { LivenessReport } from '../../src/model/liveness-report.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import { CLUSTER, type TestController } from './controller-fixture.js';
 
@@ -16,7 +16,7 @@
   readonly client: ControlStreamClient;
   /** Every revision that came into force, in order. */
   readonly revisions: number[] = [];
-  readonly replicaReports: ReplicaReport[] = [];
+  readonly livenessReports: LivenessReport[] = [];
   readonly registry = new Registry();
 
   constructor(
@@ -35,7 +35,7 @@
     const telemetry = { logger: SILENT_LOGGER, registry: this.registry };
     this.client = ControlStreamClient.start(host.environment, configuration, telemetry, faults);
     observe(this.client.revisions, ({ revision }) => this.revisions.push(revision));
-    observe(this.client.replicaReports, (report) => this.replicaReports.push(report));
+    observe(this.client.livenessReports, (report) => this.livenessReports.push(report));
   }
 
   get revision(): number | undefined {
--- a/test/control-stream/replica-reports.test.ts
+++ b/test/control-stream/liveness-reports.test.ts
@@ -1,6 +1,6 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import { Simulation } from '../../lab/simulation/simulation.js';
-import type { ReplicaReport, ReplicaState } from '../../src/model/replica-report.js';
+import type { LivenessReport, ReplicaState } from '../../src/model/liveness-report.js';
 import { setMembers, TestController } from './controller-fixture.js';
 import { TestDaemon } from './daemon-fixture.js';
 
@@ -17,7 +17,7 @@
 /** In another zone than the other two daemons. */
 let otherZoneDaemon: TestDaemon;
 
-function replicaReport(incarnation: number, state: ReplicaState): ReplicaReport {
+function livenessReport(incarnation: number, state: ReplicaState): LivenessReport {
   return { replicaId: 'replica-1', incarnation, state, observedBy: 'router-1' };
 }
 
@@ -36,37 +36,37 @@
   return simulation.settle(TestController.start(simulation.createMachine(name, zone)));
 }
 
-describe('replica reports', () => {
+describe('liveness reports', () => {
   it('of draining, which a back end states itself, reach daemons of all zones and controllers', async () => {
-    observer.client.reportReplicaState(replicaReport(1, 'draining'));
+    observer.client.reportReplicaState(livenessReport(1, 'draining'));
     await simulation.runFor(SETTLE_MS);
-    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
-    expect(otherZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
+    expect(sameZoneDaemon.livenessReports).toEqual([livenessReport(1, 'draining')]);
+    expect(otherZoneDaemon.livenessReports).toEqual([livenessReport(1, 'draining')]);
   });
 
   it('that a replica is gone reach only daemons in the zone of the observer', async () => {
-    observer.client.reportReplicaState(replicaReport(1, 'gone'));
+    observer.client.reportReplicaState(livenessReport(1, 'gone'));
     await simulation.runFor(SETTLE_MS);
-    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'gone')]);
-    expect(otherZoneDaemon.replicaReports).toEqual([]);
+    expect(sameZoneDaemon.livenessReports).toEqual([livenessReport(1, 'gone')]);
+    expect(otherZoneDaemon.livenessReports).toEqual([]);
   });
 
   it('never replace newer ones, whichever daemon sends them, even after a restart', async () => {
-    observer.client.reportReplicaState(replicaReport(2, 'draining'));
+    observer.client.reportReplicaState(livenessReport(2, 'draining'));
     await simulation.runFor(SETTLE_MS);
-    sameZoneDaemon.client.reportReplicaState(replicaReport(2, 'live'));
-    otherZoneDaemon.client.reportReplicaState(replicaReport(1, 'live'));
+    sameZoneDaemon.client.reportReplicaState(livenessReport(2, 'live'));
+    otherZoneDaemon.client.reportReplicaState(livenessReport(1, 'live'));
     await simulation.runFor(SETTLE_MS);
     sameZoneDaemon.host.restart({ keepDisk: false });
     const restarted = new TestDaemon(sameZoneDaemon.host, [other]);
     await simulation.runFor(SETTLE_MS);
-    expect(restarted.replicaReports).toEqual([replicaReport(2, 'draining')]);
-    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(2, 'draining')]);
-    observer.client.reportReplicaState(replicaReport(3, 'live'));
+    expect(restarted.livenessReports).toEqual([livenessReport(2, 'draining')]);
+    expect(sameZoneDaemon.livenessReports).toEqual([livenessReport(2, 'draining')]);
+    observer.client.reportReplicaState(livenessReport(3, 'live'));
     await simulation.runFor(SETTLE_MS);
-    expect(restarted.replicaReports).toEqual([
-      replicaReport(2, 'draining'),
-      replicaReport(3, 'live'),
+    expect(restarted.livenessReports).toEqual([
+      livenessReport(2, 'draining'),
+      livenessReport(3, 'live'),
     ]);
   });
 
@@ -76,9 +76,9 @@
     simulation.cut({ from: machines[1], to: machines[0] });
     await simulation.runFor(600_000);
     simulation.healAll();
-    observer.client.reportReplicaState(replicaReport(1, 'draining'));
+    observer.client.reportReplicaState(livenessReport(1, 'draining'));
     await simulation.runFor(7_000);
-    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
+    expect(sameZoneDaemon.livenessReports).toEqual([livenessReport(1, 'draining')]);
   });
 
   it('are forwarded by a third controller while two are partitioned from each other', async () => {
@@ -88,8 +88,8 @@
     const machines = [{ machine: 'controller-1' }, { machine: 'controller-2' }] as const;
     simulation.cut({ from: machines[0], to: machines[1] });
     simulation.cut({ from: machines[1], to: machines[0] });
-    observer.client.reportReplicaState(replicaReport(1, 'draining'));
+    observer.client.reportReplicaState(livenessReport(1, 'draining'));
     await simulation.runFor(SETTLE_MS);
-    expect(sameZoneDaemon.replicaReports).toEqual([replicaReport(1, 'draining')]);
+    expect(sameZoneDaemon.livenessReports).toEqual([livenessReport(1, 'draining')]);
   });
 });
--- a/test/control-stream/malformed-frames.test.ts
+++ b/test/control-stream/malformed-frames.test.ts
@@ -11,7 +11,7 @@
 const SEED = 4;
 const SUBSCRIBER = 'driftway_control_stream_subscriber_malformed_frames_total';
 const EXCHANGE = 'driftway_exchange_malformed_frames_total';
-const REPLICA_REPORT = {
+const LIVENESS_REPORT = {
   kind: 'sign',
   replicaId: 'replica-1',
   incarnation: 1,
@@ -66,12 +66,12 @@
     ['a truncated message', WELL_FORMED.subarray(0, 2)],
     ['a message that only controllers send', stream({ kind: 'snapshotChunk', bytes: WELL_FORMED })],
     [
-      'a replica report with an unknown state',
-      stream({ ...REPLICA_REPORT, state: 'asleep', observedBy: 'router-1' }),
+      'a liveness report with an unknown state',
+      stream({ ...LIVENESS_REPORT, state: 'asleep', observedBy: 'router-1' }),
     ],
     [
-      'a replica report with an invalid observer name',
-      stream({ ...REPLICA_REPORT, observedBy: '' }),
+      'a liveness report with an invalid observer name',
+      stream({ ...LIVENESS_REPORT, observedBy: '' }),
     ],
     ['a frame above the limit for daemons', Buffer.alloc(MAXIMUM_SUBSCRIBER_FRAME_BYTES + 1, 17)],
     ['a frame above the general limit', OVERSIZED_FRAME],
@@ -92,9 +92,9 @@
   const fromControllers: [string, Uint8Array][] = [
     ['an unknown message', Uint8Array.of(255)],
     [
-      'a replica report with an unknown state',
+      'a liveness report with an unknown state',
       EXCHANGE_CODEC.encode({
-        ...REPLICA_REPORT,
+        ...LIVENESS_REPORT,
         kind: 'scopedSign',
         scope: '',
         state: '',
@@ -111,7 +111,7 @@
     },
   );
 
-  it('removes a subscriber that disconnects while its read barrier is pending', async () => {
+  it('survives a daemon that disconnects while its read barrier is pending, and removes it', async () => {
     controller.log.readsHang = true;
     const connection = await connect('subscriber');
     void connection.send(stream(SUBSCRIPTION));
--- a/test/control-stream/source-session.test.ts
+++ b/test/control-stream/source-session.test.ts
@@ -166,8 +166,8 @@
     ['a message that only daemons send', () => source.send({ kind: 'resync', reason: 'gap' })],
     ['a change that is not JSON', () => source.send({ ...DELTA, change: Buffer.from('{') })],
     [
-      'a replica report with an unknown state',
-      () => source.send({ ...REPLICA_REPORT, state: 'constructor' }),
+      'a liveness report with an unknown state',
+      () => source.send({ ...LIVENESS_REPORT, state: 'constructor' }),
     ],
   ];
   it.each(malformedMessages)(
@@ -186,7 +186,7 @@
 const BEGIN = { kind: 'snapshotBegin', revision: 9, stateHash: '', totalBytes: 1 } as const;
 const CHUNK = { kind: 'snapshotChunk', bytes: Buffer.from('x') } as const;
 const DELTA = { kind: 'delta', revision: 2, stateHash: '' } as const;
-const REPLICA_REPORT = {
+const LIVENESS_REPORT = {
   kind: 'sign',
   replicaId: 'replica-1',
   incarnation: 1,
--- a/test/control/controller-group.test.ts
+++ b/test/control/controller-group.test.ts
@@ -1,7 +1,7 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import { PlatformList } from '../../lab/platform/platform-list.js';
 import { observe } from '../../src/control-stream/observe.js';
-import type { ReplicaReport } from '../../src/model/replica-report.js';
+import type { LivenessReport } from '../../src/model/liveness-report.js';
 import {
   ControllerGroup,
   ELECTION_MS,
@@ -92,8 +92,8 @@
       }),
     );
     const { client } = group.startDaemon('router-1', 'nayoro');
-    const signs: ReplicaReport[] = [];
-    observe(client.replicaReports, (sign) => signs.push(sign));
+    const signs: LivenessReport[] = [];
+    observe(client.livenessReports, (sign) => signs.push(sign));
     const machine = { replicaId: 'replica-1', incarnation: 1 };
     for (const state of ['live', 'draining', 'live', 'gone'] as const) {
       list.set({ ...machine, state });
--- a/test/control/controller-group.ts
+++ b/test/control/controller-group.ts
@@ -10,7 +10,7 @@
 import type { ControlStreamFaults } from '../../src/control-stream/control-stream-faults.js';
 import { ControlStreamClient } from '../../src/control-stream/control-stream-client.js';
 import { observe } from '../../src/control-stream/observe.js';
-import type { ReplicaReport } from '../../src/model/replica-report.js';
+import type { LivenessReport } from '../../src/model/liveness-report.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import type { Operation } from '../../src/settings/change.js';
 import { createTokenText, hashToken } from '../../src/settings/token-text.js';
@@ -42,7 +42,7 @@
   readonly client: ControlStreamClient;
   /** Every revision put in force, in order. */
   readonly revisions: number[] = [];
-  readonly signs: ReplicaReport[] = [];
+  readonly signs: LivenessReport[] = [];
 
   constructor(
     readonly host: SimulatedMachine,
@@ -53,7 +53,7 @@
     const configuration = { name, zone, cluster: CLUSTER, controllers };
     this.client = ControlStreamClient.start(environment, configuration, telemetry(), faults);
     observe(this.client.revisions, ({ revision }) => this.revisions.push(revision));
-    observe(this.client.replicaReports, (sign) => this.signs.push(sign));
+    observe(this.client.livenessReports, (sign) => this.signs.push(sign));
   }
 
   get revision(): number | undefined {
--- a/test/control/platform-list-poller.test.ts
+++ b/test/control/platform-list-poller.test.ts
@@ -3,7 +3,7 @@
 import { Simulation } from '../../lab/simulation/simulation.js';
 import { PlatformListPoller } from '../../src/control/platform-list-poller.js';
 import { NO_CONTROL_STREAM_FAULTS } from '../../src/control-stream/control-stream-faults.js';
-import { ReplicaReportTable } from '../../src/control-stream/replica-report-table.js';
+import { LivenessReportTable } from '../../src/control-stream/liveness-report-table.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import { UnusableEntries } from '../../src/observability/unusable-entries.js';
 
@@ -36,7 +36,7 @@
     ),
   );
   const telemetry = { logger: SILENT_LOGGER, registry: new Registry() };
-  const signs = new ReplicaReportTable(NO_CONTROL_STREAM_FAULTS);
+  const signs = new LivenessReportTable(NO_CONTROL_STREAM_FAULTS);
   const unusable = new UnusableEntries({ clock: environment.clock, ...telemetry });
   const address = { host: platform.host, port: PORT };
   let news = 0;
--- a/test/router/drain.test.ts
+++ b/test/router/drain.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import type { ReplicaState } from '../../src/model/replica-report.js';
+import type { ReplicaState } from '../../src/model/liveness-report.js';
 import { RouterHarness } from './support/router-harness.js';
 
 const OBSERVER = 'platform';
--- a/test/router/support/fixed-source.ts
+++ b/test/router/support/fixed-source.ts
@@ -1,7 +1,7 @@
 /** A configuration source that a test drives by hand. */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
-import type { ReplicaReport } from '../../../src/model/replica-report.js';
+import type { LivenessReport } from '../../../src/model/liveness-report.js';
 import type {
   ConfigurationFreshness,
   ConfigurationSource,
@@ -10,10 +10,10 @@
 
 export class FixedSource implements ConfigurationSource {
   readonly revisions: Stream<ConfigurationState>;
-  readonly replicaReports: Stream<ReplicaReport>;
+  readonly livenessReports: Stream<LivenessReport>;
   readonly publish: (state: ConfigurationState) => void;
-  readonly tellSign: (sign: ReplicaReport) => void;
-  readonly reported: ReplicaReport[] = [];
+  readonly tellSign: (sign: LivenessReport) => void;
+  readonly reported: LivenessReport[] = [];
   fresh = true;
 
   constructor(private state: ConfigurationState | undefined) {
@@ -23,7 +23,7 @@
       this.state = next;
       publish(next);
     };
-    [this.tellSign, this.replicaReports] = createAdapter<ReplicaReport>();
+    [this.tellSign, this.livenessReports] = createAdapter<LivenessReport>();
   }
 
   current(): ConfigurationState | undefined {
@@ -34,7 +34,7 @@
     return { fresh: this.fresh, committedRevision: this.state?.revision ?? 0 };
   }
 
-  reportReplicaState(sign: ReplicaReport): void {
+  reportReplicaState(sign: LivenessReport): void {
     this.reported.push(sign);
   }
 
