--- a/src/aggregation/leaf-assignment.ts
+++ b/src/aggregation/leaf-assignment.ts
@@ -4,7 +4,7 @@
  * connections to a replica and see most of its requests. Where their views differ, the only cost
  * is additional connections.
  */
-import { rankFor, type LeafGateway } from '../directory/leaf-gateway.js';
+import { rankByRendezvousHash, type LeafGateway } from '../directory/leaf-gateway.js';
 import type { ServiceTargets } from '../gateway/service-targets.js';
 import { mergeRemoteGroups } from './relayed-groups.js';
 import { selectZone, rankZones, type RootLocation } from './zone-selection.js';
@@ -169,7 +169,7 @@
   ): LeafGroup[] {
     const ownedGroups = new Map<string, number>();
     return parts.map((part, index) => {
-      const ranked = rankFor(`${zone} ${index}`, leaves, nameOf);
+      const ranked = rankByRendezvousHash(`${zone} ${index}`, leaves, nameOf);
       const ownedGroupsOf = ({ name }: LeafGateway): number => ownedGroups.get(name) ?? 0;
       // The sort is stable: leaves that own equally many groups stay in the order of their rank.
       const leavesInZone = ranked.filter((leaf) => leaf.zone === zone);
@@ -194,7 +194,10 @@
   private hashToZone(shard: string, zones: readonly string[]): string {
     const zonesOfReplicas = this.replicaZonesOf(shard);
     const candidates = zones.filter((zone) => zonesOfReplicas.has(zone));
-    return rankFor(shard, candidates.length > 0 ? candidates : zones, (zone) => zone)[0] ?? '';
+    return (
+      rankByRendezvousHash(shard, candidates.length > 0 ? candidates : zones, (zone) => zone)[0] ??
+      ''
+    );
   }
 
   private replicaZonesOf(shard: string): ReadonlySet<string> {
--- a/src/aggregation/relayed-groups.ts
+++ b/src/aggregation/relayed-groups.ts
@@ -4,7 +4,7 @@
  * saves traffic between zones: with separate groups each group's request crosses between zones
  * once more, and so do reports of which the root drops nearly all records.
  */
-import { rankFor, type LeafGateway } from '../directory/leaf-gateway.js';
+import { rankByRendezvousHash, type LeafGateway } from '../directory/leaf-gateway.js';
 import type { RootLocation } from './zone-selection.js';
 import { SAME_ZONE_GROUP_OWNERS, type LeafGroup } from './leaf-group.js';
 
@@ -44,7 +44,7 @@
   { root, rankedZones, leaves }: RelayOptions,
 ): LeafGroup {
   // Ranked by the root's name, so that every leaf of the zone relays for some roots.
-  const ranked = rankFor(root.name, leaves, ({ name }) => name);
+  const ranked = rankByRendezvousHash(root.name, leaves, ({ name }) => name);
   const leavesInZone = ranked.filter((leaf) => leaf.zone === zone);
   const leavesElsewhere = ranked.filter((leaf) => leaf.zone !== zone && leaf.zone !== root.zone);
   const zoneRank = ({ zone: other }: LeafGateway): number => rankedZones.indexOf(other);
--- a/src/aggregation/zone-selection.ts
+++ b/src/aggregation/zone-selection.ts
@@ -3,7 +3,7 @@
  * large fan-out needs an answer from every shard, and for a shard queried in another zone both the
  * request and the answer cross between zones.
  */
-import { rankFor } from '../directory/leaf-gateway.js';
+import { rankByRendezvousHash } from '../directory/leaf-gateway.js';
 
 /** Identifies a root and its zone. */
 export interface RootLocation {
@@ -19,7 +19,7 @@
  */
 export function rankZones({ name, zone }: RootLocation, zones: readonly string[]): string[] {
   const others = zones.filter((other) => other !== zone);
-  const ranked = rankFor(name, others, (other) => other);
+  const ranked = rankByRendezvousHash(name, others, (other) => other);
   return zones.includes(zone) ? [zone, ...ranked] : ranked;
 }
 
--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -46,7 +46,7 @@
   readonly log: RaftNode;
   readonly machine: ConfigurationStateMachine;
   readonly daemons: DaemonDirectory;
-  readonly signs: LivenessReportTable;
+  readonly livenessReports: LivenessReportTable;
   readonly server: ControlStreamServer;
   readonly exchange: ControllerExchange;
   readonly registration: RegistrationPart;
@@ -74,9 +74,9 @@
   const evacuationOrders = createEvacuationOrders(options, log, evacuations);
   const { logger } = options;
   const quarantineOrders = new QuarantineOrders({ log, register: quarantine, logger });
-  const replicated = { register, evacuations, evacuationOrders, quarantine, quarantineOrders };
-  const registered = { log, ...replicated };
-  const registration = startRegistration(options, registered, traffic);
+  const sectionState = { register, evacuations, evacuationOrders, quarantine, quarantineOrders };
+  const replicatedState = { log, ...sectionState };
+  const registration = startRegistration(options, replicatedState, traffic);
   const stream = startControlStream(options, log, machine);
   const quota = createQuotaServer(options, log, register);
   const parts = { log, machine, registration, evacuationOrders, quarantineOrders, quota };
@@ -103,7 +103,7 @@
 ): ControlStreamParts {
   const { clock } = environment;
   const daemons = new DaemonDirectory(clock, faults);
-  const signs = new LivenessReportTable(faults);
+  const livenessReports = new LivenessReportTable(faults);
   const onNews = (): void => exchange.notify();
   const server = new ControlStreamServer(
     {
@@ -112,7 +112,7 @@
       feed: machine,
       log,
       daemons,
-      livenessReports: signs,
+      livenessReports: livenessReports,
       onUpdate: onNews,
       faults,
     },
@@ -126,13 +126,13 @@
       identity,
       readMembers,
       daemons,
-      livenessReports: signs,
+      livenessReports: livenessReports,
       onLivenessReports: onSigns,
       faults,
     },
     telemetry,
   );
-  return { daemons, signs, server, exchange };
+  return { daemons, livenessReports: livenessReports, server, exchange };
 }
 
 function createEvacuationOrders(
@@ -162,14 +162,14 @@
 }
 
 /** The replicated state that registrations go with. */
-type ReplicatedParts = Pick<
+type ReplicatedState = Pick<
   RegistrationPartOptions,
   'log' | 'register' | 'evacuations' | 'evacuationOrders' | 'quarantine' | 'quarantineOrders'
 >;
 
 function startRegistration(
   { environment, identity, configuration, logger, telemetry, faults }: ControllerCoreOptions,
-  state: ReplicatedParts,
+  state: ReplicatedState,
   traffic: ZoneTraffic,
 ): RegistrationPart {
   const { automaticMembership, listen, zone, directory } = configuration;
@@ -191,7 +191,7 @@
 }
 
 /** Members of the log do not know each other's zones. */
-function metered(connection: MessageConnection, traffic: ZoneTraffic): MessageConnection {
+function meterConnection(connection: MessageConnection, traffic: ZoneTraffic): MessageConnection {
   return new MeteredConnection(connection, {
     kindOf: () => 'consensus',
     note: (note) => traffic.note('', note),
@@ -220,7 +220,7 @@
       },
       dial: async (peer) => {
         const target = { ...peer, role: 'consensus', connectTimeout: CONNECT_TIMEOUT_MS } as const;
-        return metered(await dial(environment, identity, target), traffic);
+        return meterConnection(await dial(environment, identity, target), traffic);
       },
       faults: raftFaults,
     },
--- a/src/control/controller-daemon.ts
+++ b/src/control/controller-daemon.ts
@@ -27,8 +27,8 @@
   type ControllerCore,
   type ControllerCoreOptions,
 } from './controller-core.js';
-import { settleIdentity } from './member-identity.js';
-import { judgeReadiness, type Readiness } from './controller-readiness.js';
+import { resolveMemberIdentity } from './member-identity.js';
+import { evaluateReadiness, type Readiness } from './controller-readiness.js';
 import { PlatformListPoller } from './platform-list-poller.js';
 
 /** All running parts. */
@@ -65,7 +65,7 @@
     raftFaults: RaftFaults = NO_FAULTS,
   ): Promise<ControllerDaemon> {
     await environment.disk.createDirectory('.');
-    const member = await settleIdentity(environment, configuration);
+    const member = await resolveMemberIdentity(environment, configuration);
     const { cluster } = configuration;
     const daemon = new ControllerDaemon({
       environment,
@@ -185,10 +185,10 @@
       ...(bootstrapTokenHash === undefined ? {} : { bootstrapTokenHash }),
     });
     const readReadiness = (): Readiness =>
-      judgeReadiness({
+      evaluateReadiness({
         stopping: this.stopping,
         sinceQuorumMs: log.status().sinceQuorumMs,
-        stateAge: server.stateAge,
+        stateAgeMs: server.stateAge,
       });
     const handler = createControllerHandler(telemetry.registry, readReadiness, administration);
     return network.listenHttp(configuration.listen.http, CONTROLLER_HTTP_OPTIONS, handler);
@@ -197,8 +197,8 @@
   private startPlatformList(core: ControllerCore): PlatformListPoller | undefined {
     const { platformList } = this.configuration;
     if (platformList === undefined) return undefined;
-    const { signs, server, exchange, registration } = core;
-    const onSigns = (): void => {
+    const { livenessReports: livenessReports, server, exchange, registration } = core;
+    const onNewReports = (): void => {
       server.notify();
       exchange.notify();
     };
@@ -206,8 +206,8 @@
     return new PlatformListPoller(
       this.environment,
       platformList,
-      signs,
-      onSigns,
+      livenessReports,
+      onNewReports,
       unusable,
       this.telemetry,
     );
--- a/src/control/controller-readiness.ts
+++ b/src/control/controller-readiness.ts
@@ -9,21 +9,25 @@
 }
 
 /** Ages are in milliseconds. */
-export interface ReadinessFacts {
+export interface ReadinessInputs {
   readonly stopping: boolean;
   /** Since a quorum was heard. */
   readonly sinceQuorumMs: number;
   /** Since the state here was known to be the agreed one. */
-  readonly stateAge: number;
+  readonly stateAgeMs: number;
 }
 
 /** The first reason that holds. */
-export function judgeReadiness({ stopping, sinceQuorumMs, stateAge }: ReadinessFacts): Readiness {
+export function evaluateReadiness({
+  stopping,
+  sinceQuorumMs,
+  stateAgeMs: stateAgeMs,
+}: ReadinessInputs): Readiness {
   if (stopping) return { ready: false, reason: 'stopping' };
   if (sinceQuorumMs > QUORUM_LEASE_MS) {
     return { ready: false, reason: `no quorum heard for ${Math.round(sinceQuorumMs)} ms` };
   }
-  if (stateAge <= QUORUM_LEASE_MS) return { ready: true };
-  const reason = `lacks what was committed ${Math.round(stateAge)} ms ago; is the disk slow?`;
+  if (stateAgeMs <= QUORUM_LEASE_MS) return { ready: true };
+  const reason = `lacks what was committed ${Math.round(stateAgeMs)} ms ago; is the disk slow?`;
   return { ready: false, reason };
 }
--- a/src/control/enrolment.ts
+++ b/src/control/enrolment.ts
@@ -11,7 +11,7 @@
 
 const DIAL_TIMEOUT_MS = 600;
 /** Longest wait for the outcome: the learner has to catch up before it gets its vote. */
-const OUTCOME_TIMEOUT_MS = 6_000;
+const RESPONSE_TIMEOUT_MS = 6_000;
 const RETRY_INTERVAL_MS = 250;
 const MAXIMUM_REASON_LENGTH = 512;
 
@@ -25,7 +25,7 @@
   if (frame === undefined) return;
   const message = ENROLMENT_CODEC.decode(frame, connection.peer);
   if (message.kind !== 'enrol') return;
-  const reason = await enrol(log, message);
+  const reason = await addVoter(log, message);
   const { memberId, address } = message;
   logger.info('enrolment asked for', { member: memberId, address, reason });
   const accepted = reason === '';
@@ -33,7 +33,7 @@
 }
 
 /** Why the member was not taken in; empty when it was. */
-async function enrol(log: RaftNode, { memberId, address }: EnrolMessage): Promise<string> {
+async function addVoter(log: RaftNode, { memberId, address }: EnrolMessage): Promise<string> {
   try {
     await log.addLearner(memberId, address);
     await log.promote(memberId);
@@ -44,7 +44,7 @@
 }
 
 /** What a controller that wants to become a member needs. */
-export interface EnrolmentParts {
+export interface EnrolmentOptions {
   readonly environment: Environment;
   readonly identity: LocalIdentity;
   readonly logger: Logger;
@@ -57,13 +57,13 @@
 }
 
 /** Asks one controller after the other until this one has a vote. */
-export async function enrolUntilVoter(parts: EnrolmentParts): Promise<void> {
-  const { environment, log, stopped, address } = parts;
+export async function enrolUntilVoter(options: EnrolmentOptions): Promise<void> {
+  const { environment, log, stopped, address } = options;
   const { clock } = environment;
   while (!stopped.aborted && !isVoter(log)) {
-    for (const controller of parts.controllers()) {
+    for (const controller of options.controllers()) {
       if (stopped.aborted || isVoter(log)) return;
-      if (controller !== address) await askOne(parts, controller);
+      if (controller !== address) await requestEnrolment(options, controller);
     }
     await clock.sleep(RETRY_INTERVAL_MS, stopped).catch(() => undefined);
   }
@@ -74,20 +74,21 @@
   return members.some((member) => member.memberId === memberId && member.voter);
 }
 
-async function askOne(parts: EnrolmentParts, controller: string): Promise<void> {
-  const { environment, identity, address, logger } = parts;
+async function requestEnrolment(options: EnrolmentOptions, controller: string): Promise<void> {
+  const { environment, identity, address, logger } = options;
   let connection: MessageConnection | undefined;
   try {
     const target = { address: parseAddress(controller), connectTimeout: DIAL_TIMEOUT_MS };
     connection = await dial(environment, identity, { ...target, role: 'enrolment' });
-    void new SilenceGuard(environment.clock, connection, OUTCOME_TIMEOUT_MS).run();
+    void new SilenceGuard(environment.clock, connection, RESPONSE_TIMEOUT_MS).run();
     await connection.send(
       ENROLMENT_CODEC.encode({ kind: 'enrol', memberId: identity.name, address }),
     );
     const frame = await connection.receive();
     if (frame === undefined) return;
-    const answer = ENROLMENT_CODEC.decode(frame, controller);
-    if (answer.kind === 'enrolled') logger.info('enrolment answered', { controller, ...answer });
+    const response = ENROLMENT_CODEC.decode(frame, controller);
+    if (response.kind === 'enrolled')
+      logger.info('enrolment answered', { controller, ...response });
   } catch (error) {
     logger.warn('enrolment failed', { controller, reason: String(error) });
   } finally {
--- a/src/control/evacuation-endpoint.ts
+++ b/src/control/evacuation-endpoint.ts
@@ -6,16 +6,16 @@
 export const EVACUATIONS_PATH = '/v1/evacuations';
 
 /** By the method of the call, whether the zone is evacuated after it. */
-const ORDERS: Readonly<Record<string, boolean>> = { PUT: true, DELETE: false };
+const EVACUATED_AFTER_METHOD: Readonly<Record<string, boolean>> = { PUT: true, DELETE: false };
 
-function answerTo(error: unknown): HttpResponse {
+function orderErrorResponse(error: unknown): HttpResponse {
   if (error instanceof EvacuationRefusedError) return errorResponse(404, error.message);
-  const answer = proposalErrorResponse(error);
-  if (answer === undefined) throw error;
-  return answer;
+  const response = proposalErrorResponse(error);
+  if (response === undefined) throw error;
+  return response;
 }
 
-function zoneOf(path: string): string | undefined {
+function decodeZone(path: string): string | undefined {
   try {
     return decodeURIComponent(path.slice(EVACUATIONS_PATH.length + 1));
   } catch {
@@ -32,19 +32,19 @@
     if (path === EVACUATIONS_PATH) {
       return method === 'GET' ? this.list() : errorResponse(405, 'use GET');
     }
-    const zone = zoneOf(path);
-    const isEvacuated = ORDERS[method];
+    const zone = decodeZone(path);
+    const isEvacuated = EVACUATED_AFTER_METHOD[method];
     if (zone === undefined) return errorResponse(400, 'the name of the zone cannot be read');
     if (isEvacuated === undefined) return errorResponse(405, 'use PUT or DELETE');
-    return this.give(zone, isEvacuated);
+    return this.submitOrder(zone, isEvacuated);
   }
 
-  private async give(zone: string, isEvacuated: boolean): Promise<HttpResponse> {
+  private async submitOrder(zone: string, isEvacuated: boolean): Promise<HttpResponse> {
     try {
       const { status, revision } = await this.orders.submit({ zone, isEvacuated });
       return jsonResponse(200, { zone, evacuated: isEvacuated, status, revision });
     } catch (error) {
-      return answerTo(error);
+      return orderErrorResponse(error);
     }
   }
 
--- a/src/control/member-identity.ts
+++ b/src/control/member-identity.ts
@@ -8,7 +8,7 @@
 
 const SUFFIX_BYTES = 4;
 /** Stands between a founding member's name and what tells a later data folder from it. */
-const LATER_MARK = '-x';
+const REPLACEMENT_MARKER = '-x';
 
 /** Who this process is in the group. */
 export interface MemberIdentity {
@@ -25,7 +25,7 @@
 
 /** Whether the id is of a member that was there from the beginning. */
 export function isFoundingMemberId(memberId: string): boolean {
-  return !memberId.includes(LATER_MARK);
+  return !memberId.includes(REPLACEMENT_MARKER);
 }
 
 /**
@@ -34,7 +34,7 @@
  *
  * @throws DiskError when the folder cannot be read.
  */
-export async function settleIdentity(
+export async function resolveMemberIdentity(
   environment: DurableEnvironment,
   configuration: ControllerConfiguration,
 ): Promise<MemberIdentity> {
@@ -58,7 +58,7 @@
   }
   const suffix = environment.random.nextIdentifier(SUFFIX_BYTES);
   return {
-    memberId: `${founding}${LATER_MARK}${suffix}`,
+    memberId: `${founding}${REPLACEMENT_MARKER}${suffix}`,
     initialMembers: founders,
     join: true,
   };
--- a/src/control/membership-keeper.ts
+++ b/src/control/membership-maintenance.ts
@@ -11,65 +11,67 @@
 
 const CHECK_INTERVAL_MS = 250;
 /** A voter that has a successor is removed after this silence. */
-export const VOTER_SILENCE_MS = 1_500;
+export const VOTER_SILENCE_TIMEOUT_MS = 1_500;
 /** A member that never got its vote is removed after this silence. */
-export const LEARNER_SILENCE_MS = 10_000;
+export const LEARNER_SILENCE_TIMEOUT_MS = 10_000;
 
 /** Voters that the group is meant to have: as many as it was founded with. */
-export function intendedVoters({ members, retiredIds }: ReplicatedLogStatus): number {
+export function intendedVoterCount({ members, retiredIds }: ReplicatedLogStatus): number {
   const ids = [...members.map(({ memberId }) => memberId), ...retiredIds];
   return ids.filter(isFoundingMemberId).length;
 }
 
 /** Whether the group has more voters than it is meant to have. */
-export function hasSpareVoter(status: ReplicatedLogStatus): boolean {
-  return status.members.filter(({ voter }) => voter).length > intendedVoters(status);
+export function hasSurplusVoter(status: ReplicatedLogStatus): boolean {
+  return status.members.filter(({ voter }) => voter).length > intendedVoterCount(status);
 }
 
 /**
  * Tells for how long members have been silent. A member that was never heard is
  * silent from when this controller, as the leader, first saw it in the group.
  */
-export class SilenceWatch {
-  private readonly seenAt = new Map<string, number>();
+export class SilenceTracker {
+  private readonly firstSeenAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
   /** The member to remove now; undefined for none, and while another controller leads. */
   memberToRemove(status: ReplicatedLogStatus): ReplicatedLogMember | undefined {
     if (status.role !== 'leader') {
-      this.seenAt.clear();
+      this.firstSeenAt.clear();
       return undefined;
     }
-    const isSpare = hasSpareVoter(status);
+    const hasSurplus = hasSurplusVoter(status);
     const now = this.clock.now();
     return status.members.find((member) => {
       const { memberId, voter, silentMs = 0 } = member;
-      const seenAt = this.seenAt.get(memberId) ?? now;
-      this.seenAt.set(memberId, seenAt);
+      const firstSeenAt = this.firstSeenAt.get(memberId) ?? now;
+      this.firstSeenAt.set(memberId, firstSeenAt);
       if (memberId === status.memberId) return false;
-      const silence = Math.min(silentMs, now - seenAt);
-      return voter ? isSpare && silence > VOTER_SILENCE_MS : silence > LEARNER_SILENCE_MS;
+      const observedSilenceMs = Math.min(silentMs, now - firstSeenAt);
+      return voter
+        ? hasSurplus && observedSilenceMs > VOTER_SILENCE_TIMEOUT_MS
+        : observedSilenceMs > LEARNER_SILENCE_TIMEOUT_MS;
     });
   }
 }
 
 /** Runs until stopped. */
-export async function keepMembership(
+export async function maintainMembership(
   clock: Clock,
   log: RaftNode,
   logger: Logger,
   stopped: AbortSignal,
 ): Promise<void> {
-  const watch = new SilenceWatch(clock);
+  const tracker = new SilenceTracker(clock);
   while (!stopped.aborted) {
     await clock.sleep(CHECK_INTERVAL_MS, stopped).catch(() => undefined);
-    const member = watch.memberToRemove(log.status());
-    if (member !== undefined) await remove(log, member, logger);
+    const member = tracker.memberToRemove(log.status());
+    if (member !== undefined) await removeMember(log, member, logger);
   }
 }
 
-async function remove(
+async function removeMember(
   log: RaftNode,
   { memberId }: ReplicatedLogMember,
   logger: Logger,
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -55,8 +55,8 @@
   constructor(
     private readonly environment: Environment,
     address: Address,
-    private readonly signs: LivenessReportTable,
-    private readonly onSigns: () => void,
+    private readonly livenessReports: LivenessReportTable,
+    private readonly onNewReports: () => void,
     private readonly unusable: UnusableEntries,
     telemetry: Telemetry,
   ) {
@@ -86,23 +86,24 @@
   }
 
   private async poll(): Promise<'read' | 'failed' | 'malformed'> {
-    const body = await this.fetch();
+    const body = await this.fetchList();
     if (body === undefined) return 'failed';
-    const machines = parseMachines(body);
+    const machines = parseList(body);
     if (machines === undefined) return 'malformed';
-    let news = false;
+    let hasNewReports = false;
     for (const item of machines) {
-      const machine = this.readMachine(item);
+      const machine = this.parseMachine(item);
       if (machine === undefined) continue;
       const sign = { ...machine, observedBy: PLATFORM_OBSERVER };
-      news = this.signs.record({ scope: ALL_ZONES, report: sign }) || news;
+      hasNewReports =
+        this.livenessReports.record({ scope: ALL_ZONES, report: sign }) || hasNewReports;
     }
-    if (news) this.onSigns();
+    if (hasNewReports) this.onNewReports();
     return 'read';
   }
 
   /** An item that cannot be used names no machine; the others of the list hold. */
-  private readMachine(item: unknown): Machine | undefined {
+  private parseMachine(item: unknown): Machine | undefined {
     const parsed = machineSchema.safeParse(item);
     if (parsed.success) return parsed.data;
     const field = String(parsed.error.issues[0]?.path[0] ?? 'item');
@@ -111,7 +112,7 @@
     return undefined;
   }
 
-  private async fetch(): Promise<Uint8Array | undefined> {
+  private async fetchList(): Promise<Uint8Array | undefined> {
     const timeout = new AbortController();
     const timer = this.environment.clock.setTimer(POLL_TIMEOUT_MS, () => {
       timeout.abort(new Error('timeout'));
@@ -132,7 +133,7 @@
   }
 }
 
-function parseMachines(body: Uint8Array): readonly unknown[] | undefined {
+function parseList(body: Uint8Array): readonly unknown[] | undefined {
   try {
     const document: unknown = JSON.parse(Buffer.from(body).toString('utf8'));
     const isList = Array.isArray(document) && document.length <= MAXIMUM_MACHINES;
--- a/src/control/quarantine-endpoint.ts
+++ b/src/control/quarantine-endpoint.ts
@@ -26,9 +26,9 @@
       return jsonResponse(200, { fingerprint, lifted: true });
     } catch (error) {
       if (error instanceof UnknownFingerprintError) return errorResponse(404, error.message);
-      const answer = proposalErrorResponse(error);
-      if (answer === undefined) throw error;
-      return answer;
+      const response = proposalErrorResponse(error);
+      if (response === undefined) throw error;
+      return response;
     }
   }
 
--- a/src/control/read-heartbeat.ts
+++ b/src/control/read-heartbeat.ts
@@ -5,11 +5,11 @@
 import { parseAddress } from '../seams/address.js';
 
 /** Longest id that is kept. Characters. */
-const LONGEST_ID = 255;
+const MAXIMUM_ID_LENGTH = 255;
 /** No replica stays cold for longer than a day; more is a mistake. Milliseconds. */
-const LONGEST_WARMUP_MS = 86_400_000;
+const MAXIMUM_WARMUP_MS = 86_400_000;
 
-function isReachable(text: string): boolean {
+function isDialableAddress(text: string): boolean {
   try {
     return parseAddress(text).port > 0;
   } catch {
@@ -20,12 +20,12 @@
 /** Fields that are not known are ignored. */
 const heartbeatSchema = z.object({
   service: z.string().min(1).max(255),
-  address: z.string().min(3).max(255).refine(isReachable, 'not host:port'),
+  address: z.string().min(3).max(255).refine(isDialableAddress, 'not host:port'),
   zone: z.string().max(255).default(''),
   capacity: z.int().min(0).default(1),
   state: z.enum([RegisteredState.Ready, RegisteredState.Draining]),
   sequence: z.int().min(0).default(0),
-  warmupRemainingMs: z.number().min(0).max(LONGEST_WARMUP_MS).default(0),
+  warmupRemainingMs: z.number().min(0).max(MAXIMUM_WARMUP_MS).default(0),
   /** When the process started, by its own clock. Unix milliseconds. */
   born: z.int().min(0).optional(),
 });
@@ -36,7 +36,7 @@
   readonly field?: string;
 }
 
-export type HeartbeatReading =
+export type HeartbeatResult =
   { readonly entry: ReplicaEntry } | { readonly problem: UnusableHeartbeat };
 
 function parseBody(body: Uint8Array): unknown {
@@ -48,8 +48,8 @@
 }
 
 /** The entry that the bytes give of the replica, or why they give none. */
-export function readHeartbeat(replicaId: string, body: Uint8Array): HeartbeatReading {
-  if (replicaId === '' || replicaId.length > LONGEST_ID) {
+export function readHeartbeat(replicaId: string, body: Uint8Array): HeartbeatResult {
+  if (replicaId === '' || replicaId.length > MAXIMUM_ID_LENGTH) {
     return { problem: { reason: UnusableReason.BadField, field: 'id' } };
   }
   const content = parseBody(body);
@@ -60,7 +60,7 @@
     const reason = field === 'state' ? UnusableReason.UnknownState : UnusableReason.BadField;
     return { problem: { reason, field } };
   }
-  const { warmupRemainingMs: warmupMs, born, ...told } = parsed.data;
-  const entry = { ...told, replicaId, warmupMs };
+  const { warmupRemainingMs: warmupMs, born, ...fields } = parsed.data;
+  const entry = { ...fields, replicaId, warmupMs };
   return { entry: born === undefined ? entry : { ...entry, bornAt: born } };
 }
--- a/src/control/registration-endpoint.ts
+++ b/src/control/registration-endpoint.ts
@@ -34,7 +34,7 @@
 const LEAVE_GATEWAYS_TIMEOUT_MS = 150;
 
 /** What the endpoint works on. */
-export interface RegistrationParts {
+export interface RegistrationEndpointOptions {
   readonly log: ReplicatedLog;
   readonly register: RouteDocumentRegister;
   readonly directory: ReplicaDirectory;
@@ -46,14 +46,14 @@
 }
 
 /** Characters of an id that a line shows. */
-const SHOWN_ID = 64;
+const MAXIMUM_LOGGED_ID_LENGTH = 64;
 
-function shorten(replicaId: string): string {
-  return replicaId.slice(0, SHOWN_ID);
+function truncateId(replicaId: string): string {
+  return replicaId.slice(0, MAXIMUM_LOGGED_ID_LENGTH);
 }
 
 /** The id that ends the path; undefined when its encoding is broken. */
-function readReplicaId(path: string): string | undefined {
+function decodeReplicaId(path: string): string | undefined {
   try {
     return decodeURIComponent(path.slice(REPLICAS_PATH.length));
   } catch {
@@ -63,18 +63,18 @@
 
 /** See the module comment. */
 export class RegistrationEndpoint {
-  constructor(private readonly parts: RegistrationParts) {}
+  constructor(private readonly options: RegistrationEndpointOptions) {}
 
   async handle(request: HttpRequest): Promise<HttpResponse> {
     const { method, path } = request;
     if (path.startsWith(REPLICAS_PATH)) {
-      return this.takeReplicaCall(method, readReplicaId(path), request.body);
+      return this.handleReplicaRequest(method, decodeReplicaId(path), request.body);
     }
     if (path === EVACUATIONS_PATH || path.startsWith(`${EVACUATIONS_PATH}/`)) {
-      return this.parts.evacuations.handle(request);
+      return this.options.evacuations.handle(request);
     }
     if (path === QUARANTINE_PATH || path.startsWith(`${QUARANTINE_PATH}/`)) {
-      return this.parts.quarantine.handle(request);
+      return this.options.quarantine.handle(request);
     }
     if (path !== ROUTES_PATH) return errorResponse(404, 'no such path');
     if (method === 'PUT') return this.putRoutes(request.body);
@@ -82,35 +82,37 @@
     return errorResponse(405, 'use PUT or GET');
   }
 
-  private async takeReplicaCall(
+  private async handleReplicaRequest(
     method: string,
     replicaId: string | undefined,
     body: Uint8Array,
   ): Promise<HttpResponse> {
     if (method !== 'PUT' && method !== 'DELETE') return errorResponse(405, 'use PUT or DELETE');
     if (replicaId === undefined) {
-      this.parts.unusable.note(EntrySource.Heartbeat, UnusableReason.Unreadable, { field: 'id' });
+      this.options.unusable.note(EntrySource.Heartbeat, UnusableReason.Unreadable, { field: 'id' });
       return errorResponse(400, 'not a replica id');
     }
-    return method === 'PUT' ? this.takeHeartbeat(replicaId, body) : this.takeLeave(replicaId);
+    return method === 'PUT'
+      ? this.handleHeartbeat(replicaId, body)
+      : this.handleDeregistration(replicaId);
   }
 
   /** One that cannot be used changes nothing of the replica's entry, and does not keep it. */
-  private async takeHeartbeat(replicaId: string, body: Uint8Array): Promise<HttpResponse> {
-    const { directory, server, unusable, logger } = this.parts;
-    const reading = readHeartbeat(replicaId, body);
-    if ('problem' in reading) {
-      const { reason, field } = reading.problem;
-      unusable.note(EntrySource.Heartbeat, reason, { replicaId: shorten(replicaId), field });
+  private async handleHeartbeat(replicaId: string, body: Uint8Array): Promise<HttpResponse> {
+    const { directory, server, unusable, logger } = this.options;
+    const result = readHeartbeat(replicaId, body);
+    if ('problem' in result) {
+      const { reason, field } = result.problem;
+      unusable.note(EntrySource.Heartbeat, reason, { replicaId: truncateId(replicaId), field });
       return errorResponse(400, `not a heartbeat: ${field ?? reason}`);
     }
-    const { entry } = reading;
-    const { isCurrent, isNews } = directory.hear(entry);
+    const { entry } = result;
+    const { isCurrent, isNews } = directory.reportDirectly(entry);
     if (directory.find(replicaId) === undefined) {
       unusable.note(EntrySource.Heartbeat, UnusableReason.TooMany, { replicaId });
       return errorResponse(503, 'too many replicas');
     }
-    if (isCurrent) server.noteHeard(replicaId);
+    if (isCurrent) server.recordHeartbeat(replicaId);
     if (isNews) {
       const { service, address, state, sequence, bornAt } = entry;
       logger.info('replica registered', {
@@ -126,11 +128,11 @@
     return isLeaving ? this.acknowledgeLeaving(replicaId) : jsonResponse(200, {});
   }
 
-  private async takeLeave(replicaId: string): Promise<HttpResponse> {
-    const { directory, logger } = this.parts;
-    const known = directory.find(replicaId)?.state;
+  private async handleDeregistration(replicaId: string): Promise<HttpResponse> {
+    const { directory, logger } = this.options;
+    const previousState = directory.find(replicaId)?.state;
     directory.leave(replicaId);
-    if (known !== RegisteredState.Gone) logger.info('replica left', { replicaId });
+    if (previousState !== RegisteredState.Gone) logger.info('replica left', { replicaId });
     return this.acknowledgeLeaving(replicaId);
   }
 
@@ -139,23 +141,23 @@
    * off hears it from one of them, also when this controller is cut off.
    */
   private async acknowledgeLeaving(replicaId: string): Promise<HttpResponse> {
-    const { directory, server, log, logger } = this.parts;
+    const { directory, server, log, logger } = this.options;
     const { position } = directory;
     server.notify();
     const { members, memberId } = log.status();
     const voters = members.filter(({ voter }) => voter).map((member) => member.memberId);
     const quorum = Math.floor(voters.length / 2) + 1;
-    const isHeld = await server.waitConfirmed(
+    const isHeldByQuorum = await server.waitForConfirmations(
       position,
       LEAVE_QUORUM_TIMEOUT_MS,
       ({ controllers }) =>
         voters.filter((voter) => voter === memberId || controllers.has(voter)).length >= quorum,
     );
-    if (!isHeld) {
+    if (!isHeldByQuorum) {
       logger.warn('leaving not acknowledged', { replicaId, reason: 'no quorum holds it' });
       return errorResponse(503, 'no quorum of the controllers holds it yet');
     }
-    await server.waitConfirmed(
+    await server.waitForConfirmations(
       position,
       LEAVE_GATEWAYS_TIMEOUT_MS,
       ({ gatewaysMissing, relaysMissing }) => gatewaysMissing === 0 && relaysMissing === 0,
@@ -165,11 +167,12 @@
 
   /** Invalid documents are refused whatever their version. */
   private async putRoutes(body: Uint8Array): Promise<HttpResponse> {
-    const { register, log, logger } = this.parts;
+    const { register, log, logger } = this.options;
     try {
       const { version } = readRouteDocument(body);
-      const held = register.current()?.version;
-      if (held !== undefined && version <= held) return jsonResponse(200, { version: held });
+      const currentVersion = register.current()?.version;
+      if (currentVersion !== undefined && version <= currentVersion)
+        return jsonResponse(200, { version: currentVersion });
       const command = sectionCommand(
         SectionTag.RouteDocument,
         encodeRouteDocument({ version, content: body }),
@@ -183,21 +186,21 @@
       });
       return jsonResponse(200, { version: outcome.version });
     } catch (error) {
-      return this.refusal(error);
+      return this.routeErrorResponse(error);
     }
   }
 
-  private refusal(error: unknown): HttpResponse {
-    this.parts.logger.warn('route document refused', { reason: String(error) });
+  private routeErrorResponse(error: unknown): HttpResponse {
+    this.options.logger.warn('route document refused', { reason: String(error) });
     if (error instanceof InvalidRouteDocumentError) return errorResponse(400, error.message);
-    const answer = proposalErrorResponse(error);
-    if (answer === undefined) throw error;
-    return answer;
+    const response = proposalErrorResponse(error);
+    if (response === undefined) throw error;
+    return response;
   }
 
   /** The newest that was ever acknowledged, or an error; never an older one. */
   private async getRoutes(): Promise<HttpResponse> {
-    const { log, register } = this.parts;
+    const { log, register } = this.options;
     try {
       await log.readBarrier();
     } catch (error) {
--- a/src/control/registration-part.ts
+++ b/src/control/registration-part.ts
@@ -40,7 +40,7 @@
 import type { MessageConnection } from '../seams/message-connection.js';
 import { enrolUntilVoter, serveEnrolment } from './enrolment.js';
 import { EvacuationEndpoint } from './evacuation-endpoint.js';
-import { hasSpareVoter, keepMembership } from './membership-keeper.js';
+import { hasSurplusVoter, maintainMembership } from './membership-maintenance.js';
 import { QuarantineEndpoint } from './quarantine-endpoint.js';
 import { RegistrationEndpoint } from './registration-endpoint.js';
 
@@ -52,7 +52,7 @@
   idleTimeout: 20_000,
 };
 /** How often members of the group and silent replicas are looked at. */
-const UPKEEP_INTERVAL_MS = 250;
+const MAINTENANCE_INTERVAL_MS = 250;
 /** Longest time that a planned stop waits to be taken out of the group. */
 const LEAVE_GROUP_TIMEOUT_MS = 1_000;
 /** A gateway that confirms later is cut off or overloaded, and its connection is closed soon. */
@@ -104,7 +104,7 @@
     const { environment, identity, logger, log, register, zone, ownAddress } = options;
     const { evacuations, evacuationOrders, quarantine, quarantineOrders, traffic } = options;
     const { clock } = environment;
-    this.directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    this.directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     this.unusable = new UnusableEntries({ clock, logger, registry: options.registry });
     const intake = new EvidenceIntake({
       orders: quarantineOrders,
@@ -159,15 +159,15 @@
       gateways: () => server.gatewayRoutes(),
       version: () => this.routeVersion,
     });
-    this.noteRoutes();
+    this.recordRouteVersion();
     observe(register.changes, () => {
-      this.noteRoutes();
+      this.recordRouteVersion();
       server.notify();
     });
     observe(evacuations.changes, () => server.notify());
     observe(quarantine.changes, () => server.notify());
     observe(directory.changes, () => server.notify());
-    void this.keepUp();
+    void this.runMaintenance();
     void logZoneTraffic({ clock, logger, traffic, stopped: this.stopped.signal });
     if (options.seeds !== undefined) this.startMembership(options.seeds);
   }
@@ -178,9 +178,9 @@
     const { clock, disk } = environment;
     const stopped = this.stopped.signal;
     const { directory, unusable } = this;
-    const parts: ReplicaStoreParts = { disk, clock, directory, unusable, logger, stopped };
-    await restoreReplicas(parts);
-    void storeReplicas(parts);
+    const storeParts: ReplicaStoreParts = { disk, clock, directory, unusable, logger, stopped };
+    await restoreReplicas(storeParts);
+    void storeReplicas(storeParts);
   }
 
   /** @throws ConnectionError when the address cannot be listened on. */
@@ -203,7 +203,7 @@
   async close(): Promise<void> {
     this.server.stop();
     const { log, environment, seeds } = this.options;
-    if (seeds !== undefined && hasSpareVoter(log.status())) {
+    if (seeds !== undefined && hasSurplusVoter(log.status())) {
       const leaving = log.remove(log.status().memberId).catch(() => undefined);
       await Promise.race([leaving, environment.clock.sleep(LEAVE_GROUP_TIMEOUT_MS)]);
     }
@@ -219,7 +219,7 @@
   private startMembership(seeds: readonly string[]): void {
     const { environment, identity, logger, log, ownAddress } = this.options;
     const stopped = this.stopped.signal;
-    void keepMembership(environment.clock, log, logger, stopped);
+    void maintainMembership(environment.clock, log, logger, stopped);
     void enrolUntilVoter({
       environment,
       identity,
@@ -248,7 +248,7 @@
 
   /** Waits until the gateways that follow this controller hold what it knows now. */
   private relay(): Promise<boolean> {
-    return this.server.waitConfirmed(
+    return this.server.waitForConfirmations(
       this.directory.position,
       RELAY_TIMEOUT_MS,
       ({ gatewaysMissing }) => gatewaysMissing === 0,
@@ -263,7 +263,7 @@
     return this.server.gatewayRoutes();
   }
 
-  private noteRoutes(): void {
+  private recordRouteVersion(): void {
     const document = this.options.register.current();
     if (document === undefined) return;
     this.routeHistory.record(document.version, this.options.environment.clock.now());
@@ -277,14 +277,14 @@
     return Math.min(age, UNKNOWN_AGE_MS);
   }
 
-  private async keepUp(): Promise<void> {
+  private async runMaintenance(): Promise<void> {
     const { clock } = this.options.environment;
     const stopped = this.stopped.signal;
     while (!stopped.aborted) {
-      this.client.useMembers(this.memberAddresses());
+      this.client.setMembers(this.memberAddresses());
       this.directory.forgetSilent();
-      this.routeLag.look();
-      await clock.sleep(UPKEEP_INTERVAL_MS, stopped).catch(() => undefined);
+      this.routeLag.check();
+      await clock.sleep(MAINTENANCE_INTERVAL_MS, stopped).catch(() => undefined);
     }
   }
 }
--- a/src/directory/controller-choice.ts
+++ b/src/directory/controller-choice.ts
@@ -3,7 +3,7 @@
  * crosses no zone, then others, spread over the gateways. Further ones are
  * followed while those are not fresh.
  */
-import { rankFor } from './leaf-gateway.js';
+import { rankByRendezvousHash } from './leaf-gateway.js';
 
 /** A controller as subscribers know it. */
 export interface KnownController {
@@ -36,7 +36,7 @@
   controllers: readonly T[],
   { ownName, ownZone }: Pick<ControllerChoiceOptions, 'ownName' | 'ownZone'>,
 ): T[] {
-  const ranked = rankFor(ownName, controllers, ({ address }) => address);
+  const ranked = rankByRendezvousHash(ownName, controllers, ({ address }) => address);
   return [
     ...ranked.filter(({ zone }) => zone === ownZone),
     ...ranked.filter(({ zone }) => zone !== ownZone),
@@ -55,11 +55,11 @@
   const ranked = rankControllers(controllers, options).map(({ address }) => address);
   if (!ranked.some((address) => stateOf(address) === FollowState.Fresh)) return ranked;
   const chosen: string[] = [];
-  let usable = 0;
+  let usableCount = 0;
   for (const address of ranked) {
-    if (usable >= options.count) break;
+    if (usableCount >= options.count) break;
     chosen.push(address);
-    if (stateOf(address) !== FollowState.Unusable) usable += 1;
+    if (stateOf(address) !== FollowState.Unusable) usableCount += 1;
   }
   return chosen;
 }
--- a/src/directory/controller-roster.ts
+++ b/src/directory/controller-roster.ts
@@ -41,7 +41,7 @@
   }
 
   /** A controller has connected. Zones of those that are neither members nor connected are forgotten. */
-  noteConnected(controller: string, zone: string): void {
+  recordConnected(controller: string, zone: string): void {
     const { ownName, members, connected } = this.sources;
     this.zones.set(controller, zone);
     const known = new Set([ownName, controller]);
@@ -53,7 +53,7 @@
   }
 
   /** Whether the gateway follows this controller before all others that are connected. */
-  isFirstFor({ name, zone }: KnownGateway): boolean {
+  isPreferredFor({ name, zone }: KnownGateway): boolean {
     const { ownName, connected } = this.sources;
     const usable = new Set([ownName]);
     for (const controller of connected()) usable.add(controller.name);
@@ -64,7 +64,7 @@
 
   /** Names of those that are to send documents to gateways of the zone: its own, else this one. */
   responsibleFor(zone: string): readonly string[] {
-    const near = this.all().filter((controller) => controller.zone === zone);
-    return near.length === 0 ? [this.sources.ownName] : near.map(({ memberId }) => memberId);
+    const inZone = this.all().filter((controller) => controller.zone === zone);
+    return inZone.length === 0 ? [this.sources.ownName] : inZone.map(({ memberId }) => memberId);
   }
 }
--- a/src/directory/directory-client.ts
+++ b/src/directory/directory-client.ts
@@ -17,11 +17,11 @@
 import type { ZoneTraffic } from '../observability/zone-traffic.js';
 import type { LocalIdentity } from '../protocol/handshake.js';
 import type { Environment } from '../seams/environment.js';
-import { DirectoryLink, type DirectoryLinkParts, type LinkNews } from './directory-link.js';
+import { DirectoryLink, type DirectoryLinkParts, type DirectoryUpdate } from './directory-link.js';
 import {
   NO_DOCUMENT,
   type DocumentMessage,
-  type ReplicaLifeMessage,
+  type ReplicaIncarnationMessage,
   type ReplicaMessage,
   type SubscriberKind,
   type VersionConfirmedMessage,
@@ -29,7 +29,7 @@
 import { FollowedControllers } from './followed-controllers.js';
 import { crashEvidenceMessage, quarantineEntry } from './quarantine-messages.js';
 import { replicaEntry } from './replica-messages.js';
-import { TAKES_RESTORED_MS } from './directory-timing.js';
+import { RESTORED_ACCEPTED_MS } from './directory-timing.js';
 import type { KnownGateway } from './leaf-gateway.js';
 import type { ReplicaDirectory } from './replica-directory.js';
 
@@ -69,7 +69,7 @@
   readonly quarantine: Stream<QuarantineEntry>;
   /** Emits whenever one more controller can be asked. */
   readonly followed: Stream<void>;
-  /** Emits each answer to {@link DirectoryClient.askVersion}. */
+  /** Emits each answer to {@link DirectoryClient.requestVersionConfirmation}. */
   readonly confirmations: Stream<VersionConfirmedMessage>;
   private readonly emitQuarantine: (entry: QuarantineEntry) => void;
   private readonly emitFollowed: () => void;
@@ -78,7 +78,7 @@
   private readonly emitDocument: (document: ReceivedDocument) => void;
   private readonly controllers: FollowedControllers;
   private documentVersion = NO_DOCUMENT;
-  private joinedGateways: readonly KnownGateway[] = [];
+  private mergedGateways: readonly KnownGateway[] = [];
   private readonly startedAt: number;
 
   constructor(private readonly options: DirectoryClientOptions) {
@@ -98,17 +98,17 @@
       followed,
       createLink: (address) => new DirectoryLink(linkParts, address),
     });
-    if (followed !== undefined) void this.controllers.keepFollowing();
+    if (followed !== undefined) void this.controllers.maintainLinks();
   }
 
   /** Replaces the addresses to begin with, `host:port` each. */
-  useSeeds(addresses: readonly string[]): void {
-    this.controllers.useSeeds(addresses);
+  setSeeds(addresses: readonly string[]): void {
+    this.controllers.setSeeds(addresses);
   }
 
   /** Replaces the known members of the group, as this controller's own log has them. */
-  useMembers(addresses: readonly string[]): void {
-    this.controllers.useMembers(addresses);
+  setMembers(addresses: readonly string[]): void {
+    this.controllers.setMembers(addresses);
   }
 
   /** Whether a controller that knew of a quorum lately is being followed. */
@@ -132,7 +132,7 @@
    * last named while none is followed. A new array whenever it changes.
    */
   get knownGateways(): readonly KnownGateway[] {
-    return this.joinedGateways;
+    return this.mergedGateways;
   }
 
   /** `host:port` of every controller that is known, followed or not. */
@@ -141,7 +141,7 @@
   }
 
   /** Tells one of the followed controllers, the freshest first; false while none is followed. */
-  reportEvidence(change: QuarantineChange): boolean {
+  reportCrashEvidence(change: QuarantineChange): boolean {
     const links = this.controllers.openLinks
       .filter(({ status }) => status?.stopping !== true)
       .sort((left, right) => (left.status?.ageMs ?? 0) - (right.status?.ageMs ?? 0));
@@ -153,8 +153,8 @@
    * Asks a controller which version of the route document is in force: the one that is followed
    * first, and with each of the `unanswered` asks before it another one. False while none is followed.
    */
-  askVersion(number: number, unanswered: number): boolean {
-    const links = this.controllers.linksToAsk;
+  requestVersionConfirmation(number: number, unanswered: number): boolean {
+    const links = this.controllers.linksByPreference;
     return links[unanswered % links.length]?.send({ kind: 'confirmVersion', number }) === true;
   }
 
@@ -174,28 +174,28 @@
       zoneOf: (address) => this.controllers.zoneOf(address),
       gatherAddress,
       relay,
-      take: (message, link) => this.take(message, link),
-      onGateways: () => this.joinGateways(),
-      onControllers: (link) => this.controllers.noteNamed(link.controllers),
+      onUpdate: (message, link) => this.handleUpdate(message, link),
+      onGateways: () => this.mergeGateways(),
+      onControllers: (link) => this.controllers.recordGroupMembers(link.controllers),
       documentVersion: () => this.documentVersion,
-      onFollowed: () => this.emitFollowed(),
-      onUnreadable: ({ address: controller }) => this.noteUnreadable(controller),
-      onState: (link, isOpen) => this.logState(link, isOpen),
+      onFirstStatus: () => this.emitFollowed(),
+      onUnreadable: ({ address: controller }) => this.countUnreadable(controller),
+      onState: (link, isOpen) => this.handleLinkState(link, isOpen),
     };
   }
 
-  private take(message: LinkNews, link: DirectoryLink): void {
+  private handleUpdate(message: DirectoryUpdate, link: DirectoryLink): void {
     const { directory } = this.options;
     switch (message.kind) {
       case 'replica':
       case 'replicaLife':
-        this.takeReplica(message, link);
+        this.handleReplica(message, link);
         return;
       case 'heard':
-        directory.noteHeard(message.replicaId);
+        directory.recordHeartbeat(message.replicaId);
         return;
       case 'document':
-        this.takeDocument({ ...message, controller: link.address });
+        this.handleDocument({ ...message, controller: link.address });
         return;
       case 'evacuation':
         this.emitEvacuation(message);
@@ -210,48 +210,51 @@
     }
   }
 
-  private takeReplica(message: ReplicaMessage | ReplicaLifeMessage, link: DirectoryLink): void {
+  private handleReplica(
+    message: ReplicaMessage | ReplicaIncarnationMessage,
+    link: DirectoryLink,
+  ): void {
     const entry = replicaEntry(message);
     if (entry === undefined) {
       const fields = { replicaId: message.replicaId, controller: link.address };
       this.options.unusable.note(EntrySource.DirectoryStream, UnusableReason.UnknownState, fields);
       return;
     }
-    const isUseful = entry.restored !== true || this.isYoung;
-    if (isUseful) this.options.directory.report(entry);
+    const isAccepted = entry.restored !== true || this.acceptsRestored;
+    if (isAccepted) this.options.directory.report(entry);
   }
 
   /** Whether this process may still lack replicas that the fleet knew before it started. */
-  private get isYoung(): boolean {
-    return this.options.environment.clock.now() - this.startedAt < TAKES_RESTORED_MS;
+  private get acceptsRestored(): boolean {
+    return this.options.environment.clock.now() - this.startedAt < RESTORED_ACCEPTED_MS;
   }
 
   /** An older document never replaces a newer one, whoever sends it. */
-  private takeDocument(document: ReceivedDocument): void {
+  private handleDocument(document: ReceivedDocument): void {
     if (document.version <= this.documentVersion) return;
     this.documentVersion = document.version;
     this.emitDocument(document);
   }
 
-  private joinGateways(): void {
+  private mergeGateways(): void {
     const followed = this.controllers.openLinks;
     if (followed.length === 0) return;
-    const joined = new Map<string, KnownGateway>();
+    const merged = new Map<string, KnownGateway>();
     for (const { gateways } of followed) {
-      for (const gateway of gateways.values()) joined.set(gateway.name, gateway);
+      for (const gateway of gateways.values()) merged.set(gateway.name, gateway);
     }
-    this.joinedGateways = [...joined.values()];
+    this.mergedGateways = [...merged.values()];
   }
 
-  private noteUnreadable(controller: string): void {
+  private countUnreadable(controller: string): void {
     const { unusable } = this.options;
     unusable.note(EntrySource.DirectoryStream, UnusableReason.Unreadable, { controller });
   }
 
-  private logState(link: DirectoryLink, isOpen: boolean): void {
+  private handleLinkState(link: DirectoryLink, isOpen: boolean): void {
     const { logger } = this.options;
     const fields = { controller: link.address };
-    if (!isOpen) this.joinGateways();
+    if (!isOpen) this.mergeGateways();
     if (isOpen) logger.info('controller regained', fields);
     else logger.warn('controller lost', fields);
   }
--- a/src/directory/directory-link.ts
+++ b/src/directory/directory-link.ts
@@ -20,15 +20,15 @@
 import type { KnownController } from './controller-choice.js';
 import type { KnownGateway } from './leaf-gateway.js';
 import {
-  DIAL_TIMEOUT_MS,
-  FIRST_DIAL_TIMEOUT_MS,
-  FIRST_REDIAL_MS,
-  REDIAL_INTERVAL_MS,
+  MAXIMUM_DIAL_TIMEOUT_MS,
+  INITIAL_DIAL_TIMEOUT_MS,
+  INITIAL_REDIAL_BACKOFF_MS,
+  MAXIMUM_REDIAL_BACKOFF_MS,
   STREAM_SILENCE_MS,
 } from './directory-timing.js';
 
 /** What a controller tells besides its own state. */
-export type LinkNews = Exclude<
+export type DirectoryUpdate = Exclude<
   DirectoryMessage,
   StatusMessage | ControllerMessage | GatewayMessage
 >;
@@ -44,7 +44,7 @@
   readonly zoneOf: (address: string) => string;
   /** See `SubscribeMessage.gatherAddress`. */
   readonly gatherAddress: string;
-  readonly take: (message: LinkNews, link: DirectoryLink) => void;
+  readonly onUpdate: (message: DirectoryUpdate, link: DirectoryLink) => void;
   /** A controller named gateways that joined or went. */
   readonly onGateways: () => void;
   /** A controller named the members of its group. */
@@ -57,7 +57,7 @@
    */
   readonly relay?: (() => Promise<boolean>) | undefined;
   /** The controller has sent its first status on a connection: it can be asked now. */
-  readonly onFollowed: () => void;
+  readonly onFirstStatus: () => void;
   /** The controller sent what cannot be read; the link is about to be lost. */
   readonly onUnreadable: (link: DirectoryLink) => void;
   /** The link was opened or lost. */
@@ -70,7 +70,7 @@
 }
 
 /** What a frame brought. */
-interface TakenFrame {
+interface FrameResult {
   /** Of the controller's directory; undefined for an answer, which needs no confirmation. */
   readonly position: number | undefined;
   /** Whether it told of a replica. */
@@ -78,8 +78,8 @@
 }
 
 /** `first`, doubled with each failure in a row, at most `longest`. */
-function afterFailures(first: number, longest: number, failures: number): number {
-  return Math.min(first * 2 ** failures, longest);
+function doubledPerFailure(initialMs: number, maximumMs: number, failures: number): number {
+  return Math.min(initialMs * 2 ** failures, maximumMs);
 }
 
 /** See the module comment. */
@@ -127,9 +127,13 @@
     const { clock, random } = this.parts.environment;
     while (!this.stopped.signal.aborted) {
       await this.connectAndFollow();
-      const interval = afterFailures(FIRST_REDIAL_MS, REDIAL_INTERVAL_MS, this.failures);
+      const backoff = doubledPerFailure(
+        INITIAL_REDIAL_BACKOFF_MS,
+        MAXIMUM_REDIAL_BACKOFF_MS,
+        this.failures,
+      );
       this.failures += 1;
-      const pause = interval * (0.5 + random.nextFloat() / 2);
+      const pause = backoff * (0.5 + random.nextFloat() / 2);
       await clock.sleep(pause, this.stopped.signal).catch(() => undefined);
     }
   }
@@ -139,9 +143,13 @@
     let wasOpen = false;
     try {
       const address = parseAddress(this.address);
-      const connectTimeout = afterFailures(FIRST_DIAL_TIMEOUT_MS, DIAL_TIMEOUT_MS, this.failures);
+      const connectTimeout = doubledPerFailure(
+        INITIAL_DIAL_TIMEOUT_MS,
+        MAXIMUM_DIAL_TIMEOUT_MS,
+        this.failures,
+      );
       const target = { address, role: 'directory', connectTimeout } as const;
-      const connection = this.metered(await dial(environment, identity, target));
+      const connection = this.meter(await dial(environment, identity, target));
       this.connection = connection;
       if (this.stopped.signal.aborted) return;
       this.gateways.clear();
@@ -161,7 +169,7 @@
     }
   }
 
-  private metered(connection: MessageConnection): MessageConnection {
+  private meter(connection: MessageConnection): MessageConnection {
     const { traffic, zoneOf } = this.parts;
     return new MeteredConnection(connection, {
       kindOf: (frame) =>
@@ -175,7 +183,7 @@
     return DIRECTORY_CODEC.encode({ kind: 'subscribe', subscriberKind, zone, gatherAddress });
   }
 
-  private takeGateway({ name, zone, address, isGone }: GatewayMessage): void {
+  private handleGateway({ name, zone, address, isGone }: GatewayMessage): void {
     if (isGone) this.gateways.delete(name);
     else this.gateways.set(name, { name, zone, address });
   }
@@ -188,7 +196,7 @@
       const frame = await connection.receive();
       if (frame === undefined) return;
       guard.recordReceived();
-      const { position, hasReplicas } = this.takeFrame(frame);
+      const { position, hasReplicas } = this.handleFrame(frame);
       if (position === undefined) continue;
       const documentVersion = this.parts.documentVersion();
       await connection.send(DIRECTORY_CODEC.encode({ kind: 'confirm', position, documentVersion }));
@@ -219,7 +227,7 @@
   }
 
   /** Takes a whole frame in. */
-  private takeFrame(frame: Uint8Array): TakenFrame {
+  private handleFrame(frame: Uint8Array): FrameResult {
     let position: number | undefined;
     const controllers: KnownController[] = [];
     let hasGateways = false;
@@ -229,14 +237,14 @@
         position = message.position;
         const isFirst = this.status === undefined;
         this.status = { ...message, receivedAt: this.parts.environment.clock.now() };
-        if (isFirst) this.parts.onFollowed();
+        if (isFirst) this.parts.onFirstStatus();
       } else if (message.kind === 'controller') {
         controllers.push(message);
       } else if (message.kind === 'gateway') {
-        this.takeGateway(message);
+        this.handleGateway(message);
         hasGateways = true;
       } else {
-        this.parts.take(message, this);
+        this.parts.onUpdate(message, this);
         hasReplicas ||= message.kind === 'replica' || message.kind === 'replicaLife';
       }
     }
--- a/src/directory/directory-messages.ts
+++ b/src/directory/directory-messages.ts
@@ -27,7 +27,7 @@
 }
 
 /** The entry of a replica that says when its process started; see `ReplicaEntry`. */
-export interface ReplicaLifeMessage extends Omit<ReplicaMessage, 'kind'> {
+export interface ReplicaIncarnationMessage extends Omit<ReplicaMessage, 'kind'> {
   readonly kind: 'replicaLife';
   readonly bornAt: number;
   readonly generation: number;
@@ -148,7 +148,7 @@
 export type DirectoryMessage =
   | SubscribeMessage
   | ReplicaMessage
-  | ReplicaLifeMessage
+  | ReplicaIncarnationMessage
   | HeardMessage
   | DocumentMessage
   | EvacuationMessage
--- a/src/directory/directory-server.ts
+++ b/src/directory/directory-server.ts
@@ -63,8 +63,8 @@
 export class DirectoryServer {
   private readonly sessions = new Set<DirectorySession>();
   private readonly roster: GatewayRoster;
-  private readonly news: Notifier;
-  private readonly confirmations: Notifier;
+  private readonly updateNotifier: Notifier;
+  private readonly confirmationNotifier: Notifier;
   private readonly sessionSources: DirectorySessionSources;
   private readonly metrics: DirectoryMetrics;
   private readonly controllers: ControllerRoster;
@@ -79,7 +79,7 @@
     this.sessionSources = {
       ...sources,
       controllers: () => this.controllers.all(),
-      isFirstFor: (gateway) => this.controllers.isFirstFor(gateway),
+      isPreferredFor: (gateway) => this.controllers.isPreferredFor(gateway),
       gatewaysFor: (kind) =>
         kind === SubscriberKind.Controller ? this.roster.own : this.roster.leaves,
     };
@@ -87,8 +87,8 @@
       ...sources,
       connected: () => this.subscribersOf(SubscriberKind.Controller),
     });
-    this.news = new Notifier(sources.clock);
-    this.confirmations = new Notifier(sources.clock);
+    this.updateNotifier = new Notifier(sources.clock);
+    this.confirmationNotifier = new Notifier(sources.clock);
     this.metrics = new DirectoryMetrics(sources.registry, {
       routeVersion: () => sources.document()?.version,
       lackingMs: () => this.gatewayRoutes().flatMap(({ lackingMs }) => lackingMs ?? []),
@@ -108,28 +108,28 @@
 
   /** Something may have changed that subscribers are told. */
   notify(): void {
-    this.news.notify();
+    this.updateNotifier.notify();
   }
 
   /** A replica's heartbeat came to this controller. */
-  noteHeard(replicaId: string): void {
+  recordHeartbeat(replicaId: string): void {
     for (const session of this.sessions) {
-      if (session.kind === SubscriberKind.Controller) session.heard.add(replicaId);
+      if (session.kind === SubscriberKind.Controller) session.pendingHeartbeats.add(replicaId);
     }
   }
 
   /** Waits until `isEnough` of the confirmations of `position`, or `milliseconds` have passed. */
-  async waitConfirmed(
+  async waitForConfirmations(
     position: number,
-    milliseconds: number,
+    timeoutMs: number,
     isEnough: (confirmation: Confirmation) => boolean,
   ): Promise<boolean> {
     const { clock } = this.sources;
-    const deadline = clock.now() + milliseconds;
+    const deadline = clock.now() + timeoutMs;
     while (!isEnough(this.confirmation(position))) {
-      const rest = deadline - clock.now();
-      if (rest <= 0) return false;
-      await this.confirmations.wait(rest);
+      const remainingMs = deadline - clock.now();
+      if (remainingMs <= 0) return false;
+      await this.confirmationNotifier.wait(remainingMs);
     }
     return true;
   }
@@ -139,9 +139,9 @@
     let gatewaysMissing = 0;
     let relaysMissing = 0;
     for (const { name, kind, confirmedPosition, relayedPosition } of this.sessions) {
-      const holds = confirmedPosition >= position;
-      if (kind === SubscriberKind.Controller && holds) controllers.add(name);
-      if (kind === SubscriberKind.Gateway && !holds) gatewaysMissing += 1;
+      const hasConfirmed = confirmedPosition >= position;
+      if (kind === SubscriberKind.Controller && hasConfirmed) controllers.add(name);
+      if (kind === SubscriberKind.Gateway && !hasConfirmed) gatewaysMissing += 1;
       if (kind === SubscriberKind.Controller && relayedPosition < position) relaysMissing += 1;
     }
     return { controllers, gatewaysMissing, relaysMissing };
@@ -156,17 +156,17 @@
     void guard.run();
     void this.receiveConfirmations(connection, session, guard);
     try {
-      await this.sendNews(connection, session);
+      await this.sendUpdates(connection, session);
     } finally {
       this.sessions.delete(session);
-      this.confirmations.notify();
+      this.confirmationNotifier.notify();
     }
   }
 
   /** Tells every subscriber that this controller is about to stop. */
   stop(): void {
     this.stopping = true;
-    this.news.notify();
+    this.updateNotifier.notify();
   }
 
   private async tryOpen(
@@ -193,10 +193,10 @@
     const isController = message.subscriberKind === SubscriberKind.Controller.valueOf();
     const kind = isController ? SubscriberKind.Controller : SubscriberKind.Gateway;
     const { zone, gatherAddress: address } = message;
-    if (isController) this.controllers.noteConnected(name, zone);
-    const isFar = zone !== this.sources.ownZone;
-    const isUnderstood = protocolVersion >= COMPRESSION_SINCE_VERSION;
-    const isCompressed = this.sources.compressBetweenZones && isFar && isUnderstood;
+    if (isController) this.controllers.recordConnected(name, zone);
+    const isInOtherZone = zone !== this.sources.ownZone;
+    const supportsCompression = protocolVersion >= COMPRESSION_SINCE_VERSION;
+    const isCompressed = this.sources.compressBetweenZones && isInOtherZone && supportsCompression;
     return new DirectorySession(kind, { name, zone, address }, isCompressed);
   }
 
@@ -217,25 +217,28 @@
     return { gateway, zone, version, lackingMs, owedBy: this.controllers.responsibleFor(zone) };
   }
 
-  private async sendNews(connection: MessageConnection, session: DirectorySession): Promise<void> {
+  private async sendUpdates(
+    connection: MessageConnection,
+    session: DirectorySession,
+  ): Promise<void> {
     const { clock } = this.sources;
     let isOpen = true;
     void connection.closed.then(() => {
       isOpen = false;
-      this.news.notify();
+      this.updateNotifier.notify();
     });
     while (isOpen) {
-      const messages = this.takeNews(session);
+      const messages = this.takeUpdates(session);
       const documentDueInMs = session.documentDueInMs(this.sessionSources);
-      const news = this.news.wait(Math.min(STATUS_INTERVAL_MS, documentDueInMs));
+      const nextUpdate = this.updateNotifier.wait(Math.min(STATUS_INTERVAL_MS, documentDueInMs));
       await this.sendFrames(connection, messages, session);
-      await news;
+      await nextUpdate;
       if (isOpen) await clock.sleep(BATCH_INTERVAL_MS);
     }
   }
 
-  private takeNews(session: DirectorySession): DirectoryMessage[] {
-    const messages = session.takeNews(this.sessionSources);
+  private takeUpdates(session: DirectorySession): DirectoryMessage[] {
+    const messages = session.takeUpdates(this.sessionSources);
     this.countDocuments(session, messages);
     return messages;
   }
@@ -262,8 +265,8 @@
     { subscriber }: DirectorySession,
     messages: readonly DirectoryMessage[],
   ): void {
-    const isNear = subscriber.zone === this.sources.ownZone;
-    const place = isNear ? SubscriberPlace.OwnZone : SubscriberPlace.OtherZone;
+    const isInOwnZone = subscriber.zone === this.sources.ownZone;
+    const place = isInOwnZone ? SubscriberPlace.OwnZone : SubscriberPlace.OtherZone;
     for (const message of messages) {
       if (message.kind !== 'document') continue;
       this.metrics.documents.inc({ place });
@@ -288,7 +291,7 @@
         if (frame === undefined) break;
         guard.recordReceived();
         const message = DIRECTORY_CODEC.decode(frame, session.name);
-        this.takeConfirmation(session, message);
+        this.handleMessage(session, message);
         if (message.kind === 'confirmVersion') this.confirmVersion(connection, message.number);
       }
     } catch (error) {
@@ -300,21 +303,21 @@
 
   /** Sent at once, as the gateway's lease counts from when it asked. */
   private confirmVersion(connection: MessageConnection, number: number): void {
-    this.sources.confirmer.ask(number, (confirmed) => {
+    this.sources.confirmer.requestConfirmation(number, (confirmed) => {
       // A connection that broke is noticed by the task that reads it.
       void connection.send(DIRECTORY_CODEC.encode(confirmed)).catch(() => undefined);
     });
   }
 
-  private takeConfirmation(session: DirectorySession, message: DirectoryMessage): void {
+  private handleMessage(session: DirectorySession, message: DirectoryMessage): void {
     if (message.kind === 'crashEvidence') this.sources.onCrashEvidence(quarantineChange(message));
     if (message.kind === 'relayed') {
       session.relayedPosition = Math.max(session.relayedPosition, message.position);
-      this.confirmations.notify();
+      this.confirmationNotifier.notify();
     }
     if (message.kind !== 'confirm') return;
     session.confirmedPosition = Math.max(session.confirmedPosition, message.position);
     session.confirmedDocumentVersion = message.documentVersion;
-    this.confirmations.notify();
+    this.confirmationNotifier.notify();
   }
 }
--- a/src/directory/directory-session.ts
+++ b/src/directory/directory-session.ts
@@ -8,7 +8,7 @@
 import { NO_DOCUMENT, SubscriberKind, type DirectoryMessage } from './directory-messages.js';
 import { quarantineMessage } from './quarantine-messages.js';
 import { replicaMessage } from './replica-messages.js';
-import { FAR_DOCUMENT_DELAY_MS, FAR_DOCUMENT_INTERVAL_MS } from './directory-timing.js';
+import { FALLBACK_DOCUMENT_DELAY_MS, CROSS_ZONE_DOCUMENT_INTERVAL_MS } from './directory-timing.js';
 import type { KnownGateway } from './leaf-gateway.js';
 import type { ReplicaDirectory } from './replica-directory.js';
 
@@ -32,7 +32,7 @@
   /** Requests under which replicas ended; gateways are told of those that are suspected. */
   readonly quarantine: Pick<QuarantineRegister, 'position' | 'changedAfter'>;
   /** Whether a gateway follows this controller before all others that are connected. */
-  readonly isFirstFor: (gateway: KnownGateway) => boolean;
+  readonly isPreferredFor: (gateway: KnownGateway) => boolean;
   readonly controllers: () => readonly DirectoryController[];
   /** See `StatusMessage.ageMs`. */
   readonly ageMs: () => number;
@@ -50,19 +50,19 @@
   /** All gateways that follow the subscriber, a controller, have taken in everything up to here. */
   relayedPosition = -1;
   /** Heartbeats heard since the last frame; only controllers are told of them. */
-  readonly heard = new Set<string>();
+  readonly pendingHeartbeats = new Set<string>();
   /** Version of the route document that the subscriber last said it has in force. */
   confirmedDocumentVersion = NO_DOCUMENT;
   private documentVersion = NO_DOCUMENT;
   /** When the last one was sent. Clock reading. */
   private documentSentAt = -Infinity;
-  private controllers = '';
+  private controllersFingerprint = '';
   /** Of the quarantine, up to which the subscriber was told. */
   private quarantinePosition = 0;
 
   /** By zone, the revision of the last order that was told. */
-  private readonly toldEvacuations = new Map<string, number>();
-  private readonly toldGateways = new Map<string, KnownGateway>();
+  private readonly sentEvacuations = new Map<string, number>();
+  private readonly sentGateways = new Map<string, KnownGateway>();
 
   constructor(
     readonly kind: SubscriberKind,
@@ -77,7 +77,7 @@
   }
 
   /** Everything that the subscriber was not told yet. */
-  takeNews(sources: DirectorySessionSources): DirectoryMessage[] {
+  takeUpdates(sources: DirectorySessionSources): DirectoryMessage[] {
     const messages: DirectoryMessage[] = [];
     // Before the routes: a gateway without routes sends nothing yet.
     this.addEvacuations(sources, messages);
@@ -88,8 +88,8 @@
     for (const entry of sources.directory.changedAfter(this.position)) {
       messages.push(replicaMessage(entry));
     }
-    for (const replicaId of this.heard) messages.push({ kind: 'heard', replicaId });
-    this.heard.clear();
+    for (const replicaId of this.pendingHeartbeats) messages.push({ kind: 'heard', replicaId });
+    this.pendingHeartbeats.clear();
     this.position = sources.directory.position;
     return messages;
   }
@@ -104,16 +104,16 @@
    * that follow each other closely would never reach a gateway whose first controller is lost.
    */
   documentDueInMs(sources: DirectorySessionSources): number {
-    const { clock, ownZone, routeHistory, isFirstFor } = sources;
+    const { clock, ownZone, routeHistory, isPreferredFor: isPreferredFor } = sources;
     // Controllers have it from the replicated log.
     if (this.kind !== SubscriberKind.Gateway) return Infinity;
     const lackingSince = routeHistory.supersededAt(this.heldVersion);
     if (lackingSince === undefined) return Infinity;
-    const isFar = this.subscriber.zone !== ownZone;
-    if (!isFar || this.confirmedDocumentVersion === NO_DOCUMENT) return 0;
-    const dueAt = isFirstFor(this.subscriber)
-      ? this.documentSentAt + FAR_DOCUMENT_INTERVAL_MS
-      : lackingSince + FAR_DOCUMENT_DELAY_MS;
+    const isInOtherZone = this.subscriber.zone !== ownZone;
+    if (!isInOtherZone || this.confirmedDocumentVersion === NO_DOCUMENT) return 0;
+    const dueAt = isPreferredFor(this.subscriber)
+      ? this.documentSentAt + CROSS_ZONE_DOCUMENT_INTERVAL_MS
+      : lackingSince + FALLBACK_DOCUMENT_DELAY_MS;
     return Math.max(0, dueAt - clock.now());
   }
 
@@ -121,8 +121,8 @@
     if (this.kind !== SubscriberKind.Gateway) return;
     for (const evacuation of sources.evacuations()) {
       const { zone, revision } = evacuation;
-      if (this.toldEvacuations.get(zone) === revision) continue;
-      this.toldEvacuations.set(zone, revision);
+      if (this.sentEvacuations.get(zone) === revision) continue;
+      this.sentEvacuations.set(zone, revision);
       messages.push({ kind: 'evacuation', ...evacuation });
     }
   }
@@ -133,8 +133,8 @@
   ): void {
     if (this.kind !== SubscriberKind.Gateway) return;
     for (const entry of quarantine.changedAfter(this.quarantinePosition)) {
-      const isTold = entry.state !== QuarantineState.Observed;
-      if (isTold) messages.push(quarantineMessage(entry));
+      const isSent = entry.state !== QuarantineState.Observed;
+      if (isSent) messages.push(quarantineMessage(entry));
     }
     this.quarantinePosition = quarantine.position;
   }
@@ -155,15 +155,15 @@
 
   /** What changed in the list since it was told. */
   private addGateways(sources: DirectorySessionSources, messages: DirectoryMessage[]): void {
-    const gone = new Map(this.toldGateways);
+    const gone = new Map(this.sentGateways);
     for (const gateway of sources.gatewaysFor(this.kind)) {
       gone.delete(gateway.name);
-      if (this.toldGateways.get(gateway.name)?.address === gateway.address) continue;
-      this.toldGateways.set(gateway.name, gateway);
+      if (this.sentGateways.get(gateway.name)?.address === gateway.address) continue;
+      this.sentGateways.set(gateway.name, gateway);
       messages.push({ kind: 'gateway', ...gateway, isGone: false });
     }
     for (const gateway of gone.values()) {
-      this.toldGateways.delete(gateway.name);
+      this.sentGateways.delete(gateway.name);
       messages.push({ kind: 'gateway', ...gateway, isGone: true });
     }
   }
@@ -171,8 +171,8 @@
   private addControllers(sources: DirectorySessionSources, messages: DirectoryMessage[]): void {
     const controllers = sources.controllers();
     const fingerprint = controllers.map(({ address, zone }) => `${address} ${zone}`).join(' ');
-    if (fingerprint === this.controllers) return;
-    this.controllers = fingerprint;
+    if (fingerprint === this.controllersFingerprint) return;
+    this.controllersFingerprint = fingerprint;
     for (const { memberId, address, zone } of controllers) {
       messages.push({ kind: 'controller', memberId, address, zone });
     }
--- a/src/directory/followed-controllers.ts
+++ b/src/directory/followed-controllers.ts
@@ -10,7 +10,12 @@
   type KnownController,
 } from './controller-choice.js';
 import type { DirectoryLink } from './directory-link.js';
-import { DIALLED_MS, FOLLOWED_FRESH_MS, FOLLOW_INTERVAL_MS, FRESH_MS } from './directory-timing.js';
+import {
+  PENDING_AFTER_DIAL_MS,
+  FOLLOWED_FRESHNESS_MS,
+  LINK_CHECK_INTERVAL_MS,
+  FRESHNESS_MS,
+} from './directory-timing.js';
 
 /** Most controllers that are followed at once. */
 const MAXIMUM_LINKS = 12;
@@ -41,19 +46,19 @@
   constructor(private readonly options: FollowedControllersOptions) {}
 
   /** Replaces the addresses to begin with, `host:port` each. */
-  useSeeds(addresses: readonly string[]): void {
+  setSeeds(addresses: readonly string[]): void {
     this.seeds = addresses;
     this.adjustLinks();
   }
 
   /** Replaces the known members of the group, as this controller's own log has them. */
-  useMembers(addresses: readonly string[]): void {
+  setMembers(addresses: readonly string[]): void {
     this.members = addresses;
     this.adjustLinks();
   }
 
   /** A controller has named the members of its group. */
-  noteNamed(controllers: readonly KnownController[]): void {
+  recordGroupMembers(controllers: readonly KnownController[]): void {
     for (const { address, zone } of controllers) {
       if (zone !== '') this.zones.set(address, zone);
     }
@@ -73,7 +78,7 @@
   /** Whether a controller that knew of a quorum lately is being followed. */
   get isFresh(): boolean {
     const now = this.now();
-    return this.openLinks.some((link) => this.ageOf(link, now) < FRESH_MS);
+    return this.openLinks.some((link) => this.ageOf(link, now) < FRESHNESS_MS);
   }
 
   /** Controllers that are known, followed or not. The union: the list of one that is cut off may be old. */
@@ -92,7 +97,7 @@
   }
 
   /** Open links, those to controllers that tell fresh news in front, nearer ones first. */
-  get linksToAsk(): readonly DirectoryLink[] {
+  get linksByPreference(): readonly DirectoryLink[] {
     const { ownName, ownZone } = this.options;
     const links = rankControllers(this.known, { ownName, ownZone })
       .flatMap(({ address }) => this.links.get(address) ?? [])
@@ -103,12 +108,12 @@
   }
 
   /** Replaces followed controllers that are not fresh any more, until stopped. */
-  async keepFollowing(): Promise<void> {
+  async maintainLinks(): Promise<void> {
     const { clock } = this.options.environment;
     const { signal } = this.stopped;
     while (!signal.aborted) {
       this.adjustLinks();
-      await clock.sleep(FOLLOW_INTERVAL_MS, signal).catch(() => undefined);
+      await clock.sleep(LINK_CHECK_INTERVAL_MS, signal).catch(() => undefined);
     }
   }
 
@@ -121,19 +126,19 @@
 
   private adjustLinks(): void {
     if (this.stopped.signal.aborted) return;
-    const wanted = new Set(this.wantedAddresses());
+    const targets = new Set(this.targetAddresses());
     for (const [address, link] of this.links) {
-      if (wanted.has(address)) continue;
+      if (targets.has(address)) continue;
       this.links.delete(address);
       void link.stop();
     }
-    for (const address of [...wanted].slice(0, MAXIMUM_LINKS)) {
+    for (const address of [...targets].slice(0, MAXIMUM_LINKS)) {
       if (this.links.has(address)) continue;
       this.links.set(address, this.options.createLink(address));
     }
   }
 
-  private wantedAddresses(): readonly string[] {
+  private targetAddresses(): readonly string[] {
     const { ownAddress, followed, ownName, ownZone } = this.options;
     const known = this.known.filter(({ address }) => address !== ownAddress);
     if (followed === undefined) return known.map(({ address }) => address);
@@ -145,9 +150,11 @@
     const link = this.links.get(address);
     if (link === undefined) return FollowState.Unusable;
     const now = this.now();
-    const isFresh = this.ageOf(link, now) < FOLLOWED_FRESH_MS && link.status?.stopping !== true;
+    const isFresh = this.ageOf(link, now) < FOLLOWED_FRESHNESS_MS && link.status?.stopping !== true;
     if (isFresh) return FollowState.Fresh;
-    return now - link.startedAt < DIALLED_MS ? FollowState.Pending : FollowState.Unusable;
+    return now - link.startedAt < PENDING_AFTER_DIAL_MS
+      ? FollowState.Pending
+      : FollowState.Unusable;
   }
 
   /** Age of what the controller knows; Infinity while it is not followed. Milliseconds. */
--- a/src/directory/gateway-roster.ts
+++ b/src/directory/gateway-roster.ts
@@ -3,7 +3,7 @@
  * and those that follow others, as these say.
  */
 import type { Clock } from '../seams/clock.js';
-import { GATEWAY_REMEMBERED_MS, ROSTER_INTERVAL_MS } from './directory-timing.js';
+import { GATEWAY_RETENTION_MS, ROSTER_REFRESH_INTERVAL_MS } from './directory-timing.js';
 import { chooseLeaves, type KnownGateway, type LeafGateway } from './leaf-gateway.js';
 
 /** Where the roster looks. */
@@ -17,7 +17,7 @@
 
 /** See the module comment. Looked up again now and then: it is asked for with every frame. */
 export class GatewayRoster {
-  private readonly seenAt = new Map<string, number>();
+  private readonly lastSeenAt = new Map<string, number>();
   private chosenLeaves: readonly LeafGateway[] = [];
   private refreshedAt = -Infinity;
 
@@ -31,7 +31,7 @@
   /** Number of gateways that follow any controller now or did a short while ago. */
   get count(): number {
     this.refresh();
-    return this.seenAt.size;
+    return this.lastSeenAt.size;
   }
 
   /** Gateways that take gathers of others. */
@@ -42,14 +42,14 @@
 
   private refresh(): void {
     const now = this.sources.clock.now();
-    if (now - this.refreshedAt < ROSTER_INTERVAL_MS) return;
+    if (now - this.refreshedAt < ROSTER_REFRESH_INTERVAL_MS) return;
     this.refreshedAt = now;
     const known = new Map(this.sources.others().map((other) => [other.name, other]));
     for (const gateway of this.sources.own()) known.set(gateway.name, gateway);
     this.chosenLeaves = chooseLeaves(known.values());
-    for (const name of known.keys()) this.seenAt.set(name, now);
-    for (const [name, seenAt] of this.seenAt) {
-      if (now - seenAt > GATEWAY_REMEMBERED_MS) this.seenAt.delete(name);
+    for (const name of known.keys()) this.lastSeenAt.set(name, now);
+    for (const [name, seenAt] of this.lastSeenAt) {
+      if (now - seenAt > GATEWAY_RETENTION_MS) this.lastSeenAt.delete(name);
     }
   }
 }
--- a/src/directory/leaf-gateway.ts
+++ b/src/directory/leaf-gateway.ts
@@ -23,18 +23,18 @@
 export const MAXIMUM_LEAVES_PER_ZONE = 12;
 
 /** Rank of `candidate` for `subject` by rendezvous hashing: the highest come first. */
-export function rendezvousRank(subject: string, candidate: string): bigint {
+export function rendezvousHash(subject: string, candidate: string): bigint {
   return xxh64(`${subject} ${candidate}`);
 }
 
 /** `candidates`, the highest ranked for `subject` first. */
-export function rankFor<T>(
+export function rankByRendezvousHash<T>(
   subject: string,
   candidates: readonly T[],
   nameOf: (candidate: T) => string,
 ): T[] {
   return candidates
-    .map((candidate) => ({ candidate, rank: rendezvousRank(subject, nameOf(candidate)) }))
+    .map((candidate) => ({ candidate, rank: rendezvousHash(subject, nameOf(candidate)) }))
     .sort((left, right) => (left.rank < right.rank ? 1 : -1))
     .map(({ candidate }) => candidate);
 }
@@ -49,6 +49,6 @@
     byZone.set(gateway.zone, others);
   }
   return [...byZone].flatMap(([zone, group]) =>
-    rankFor(zone, group, ({ name }) => name).slice(0, MAXIMUM_LEAVES_PER_ZONE),
+    rankByRendezvousHash(zone, group, ({ name }) => name).slice(0, MAXIMUM_LEAVES_PER_ZONE),
   );
 }
--- a/src/directory/replica-directory.ts
+++ b/src/directory/replica-directory.ts
@@ -6,7 +6,12 @@
 import type { Stream } from '@most/types';
 import { VersionedTable } from '../control-stream/versioned-table.js';
 import type { Clock } from '../seams/clock.js';
-import { RegisteredState, compareLives, joinReports, type ReplicaEntry } from './replica-entry.js';
+import {
+  RegisteredState,
+  compareIncarnations,
+  mergeReports,
+  type ReplicaEntry,
+} from './replica-entry.js';
 
 /** A replica of which nothing was heard for this long is forgotten. Milliseconds. */
 export const FORGET_AFTER_MS = 120_000;
@@ -15,14 +20,14 @@
  * A replica that was read back from a disk is forgotten unless it is heard of
  * within this time, which holds two of its heartbeats. Milliseconds.
  */
-export const RESTORED_VALID_MS = 3_000;
+export const RESTORED_RETENTION_MS = 3_000;
 
 /**
  * A life that by its own clock began before the one that is known counts as the later one once
  * nothing was heard of that for this long: three heartbeats and more. Until then it may as well
  * be a late word of an earlier life. Milliseconds.
  */
-export const LIFE_SILENT_MS = 5_000;
+export const INCARNATION_SILENCE_MS = 5_000;
 
 /** Most replicas that are known: several times as many as are expected; so many take 20 MB of heap. */
 const MAXIMUM_ENTRIES = 50_000;
@@ -33,8 +38,8 @@
 
 /** Whether the process hears of every heartbeat, or only of changes. */
 export enum DirectoryKind {
-  HearsHeartbeats = 'hears_heartbeats',
-  HearsChanges = 'hears_changes',
+  ReceivesHeartbeats = 'hears_heartbeats',
+  ReceivesChanges = 'hears_changes',
 }
 
 /**
@@ -42,17 +47,17 @@
  * while, so that a late heartbeat does not bring it back. Who hears only of changes
  * cannot tell a silent replica from one of which nothing changed, and keeps both.
  */
-function keptFor(kind: DirectoryKind, entry: ReplicaEntry | undefined): number {
+function retentionMs(kind: DirectoryKind, entry: ReplicaEntry | undefined): number {
   if (entry === undefined || entry.state !== RegisteredState.Ready) return FORGET_AFTER_MS;
-  if (isRestored(entry)) return RESTORED_VALID_MS;
-  return kind === DirectoryKind.HearsChanges ? Infinity : FORGET_AFTER_MS;
+  if (isRestored(entry)) return RESTORED_RETENTION_MS;
+  return kind === DirectoryKind.ReceivesChanges ? Infinity : FORGET_AFTER_MS;
 }
 
 /**
  * Fields that change with each call are of no interest to readers by themselves. The time that
  * a replica stays cold falls with each call; when it rises, the replica has turned cold again.
  */
-function isWorthTelling(before: ReplicaEntry | undefined, after: ReplicaEntry): boolean {
+function isSignificantChange(before: ReplicaEntry | undefined, after: ReplicaEntry): boolean {
   if (before === undefined) return true;
   return (
     before.state !== after.state ||
@@ -67,7 +72,7 @@
 }
 
 /** What became of a report that a replica made here itself. */
-export interface HeardReport {
+export interface DirectReportResult {
   /** Whether it is of the life that is known now, not of an earlier one. */
   readonly isCurrent: boolean;
   /** Whether it was worth telling others. */
@@ -115,7 +120,7 @@
   }
 
   /** When something was last heard of a replica; -Infinity when it never was. */
-  lastHeard(replicaId: string): number {
+  lastHeardAt(replicaId: string): number {
     return this.heardAt.get(replicaId) ?? -Infinity;
   }
 
@@ -124,16 +129,17 @@
    * joins what others heard, this decides whether a life that began
    * before the known one by its own clock is the later one all the same.
    */
-  hear(report: ReplicaEntry): HeardReport {
+  reportDirectly(report: ReplicaEntry): DirectReportResult {
     const known = this.entries.get(report.replicaId);
     if (known === undefined) {
       const isNews = this.report(report);
       return { isCurrent: isNews, isNews };
     }
     const { generation = 0 } = known;
-    const heard = generation === 0 ? report : { ...report, generation };
-    if (compareLives(heard, known) >= 0) return { isCurrent: true, isNews: this.report(heard) };
-    const isSilent = this.clock.now() - this.lastHeard(report.replicaId) > LIFE_SILENT_MS;
+    const current = generation === 0 ? report : { ...report, generation };
+    if (compareIncarnations(current, known) >= 0)
+      return { isCurrent: true, isNews: this.report(current) };
+    const isSilent = this.clock.now() - this.lastHeardAt(report.replicaId) > INCARNATION_SILENCE_MS;
     if (!isSilent) return { isCurrent: false, isNews: false };
     return { isCurrent: true, isNews: this.report({ ...report, generation: generation + 1 }) };
   }
@@ -142,16 +148,16 @@
   report(report: ReplicaEntry): boolean {
     const known = this.entries.get(report.replicaId);
     if (known === undefined && this.entries.size >= this.maximumEntries) return false;
-    const joined = known === undefined ? report : joinReports(known, report);
+    const merged = known === undefined ? report : mergeReports(known, report);
     // Told again by another controller, a restored replica is not heard of.
-    const isEarlier = known !== undefined && compareLives(report, known) < 0;
-    const isHeard = known === undefined || (!isRestored(report) && !isEarlier);
-    if (isHeard) this.heardAt.set(report.replicaId, this.clock.now());
-    if (joined === known) return false;
-    this.entries.set(report.replicaId, joined);
-    if (!isWorthTelling(known, joined)) return false;
-    this.table.put(report.replicaId, joined);
-    this.emitChange(joined);
+    const isEarlier = known !== undefined && compareIncarnations(report, known) < 0;
+    const provesAlive = known === undefined || (!isRestored(report) && !isEarlier);
+    if (provesAlive) this.heardAt.set(report.replicaId, this.clock.now());
+    if (merged === known) return false;
+    this.entries.set(report.replicaId, merged);
+    if (!isSignificantChange(known, merged)) return false;
+    this.table.put(report.replicaId, merged);
+    this.emitChange(merged);
     return true;
   }
 
@@ -159,13 +165,13 @@
   leave(replicaId: string): void {
     const known = this.entries.get(replicaId);
     const sequence = known === undefined ? 0 : known.sequence + 1;
-    const blank = { service: '', address: '', zone: '', capacity: 0, warmupMs: 0 };
+    const emptyEntry = { service: '', address: '', zone: '', capacity: 0, warmupMs: 0 };
     const state = RegisteredState.Gone;
-    this.report({ ...blank, ...known, replicaId, sequence, state, restored: false });
+    this.report({ ...emptyEntry, ...known, replicaId, sequence, state, restored: false });
   }
 
   /** Some process heard the replica's heartbeat. */
-  noteHeard(replicaId: string): void {
+  recordHeartbeat(replicaId: string): void {
     const known = this.entries.get(replicaId);
     if (known === undefined) return;
     if (isRestored(known)) this.report({ ...known, restored: false });
@@ -174,12 +180,12 @@
 
   /**
    * Drops what was not heard of for {@link FORGET_AFTER_MS}, or
-   * {@link RESTORED_VALID_MS}, as far as silence means anything here.
+   * {@link RESTORED_RETENTION_MS}, as far as silence means anything here.
    */
   forgetSilent(): void {
     const now = this.clock.now();
     for (const [replicaId, heardAt] of this.heardAt) {
-      if (now - heardAt <= keptFor(this.kind, this.entries.get(replicaId))) continue;
+      if (now - heardAt <= retentionMs(this.kind, this.entries.get(replicaId))) continue;
       this.heardAt.delete(replicaId);
       this.entries.delete(replicaId);
       this.table.remove(replicaId);
--- a/src/directory/replica-entry.ts
+++ b/src/directory/replica-entry.ts
@@ -9,7 +9,7 @@
   Gone = 'gone',
 }
 
-const RANKS: Readonly<Record<RegisteredState, number>> = {
+const STATE_ORDER: Readonly<Record<RegisteredState, number>> = {
   [RegisteredState.Ready]: 0,
   [RegisteredState.Draining]: 1,
   [RegisteredState.Gone]: 2,
@@ -45,7 +45,7 @@
 
 /** Whether `text`, as received, names a state. */
 export function isRegisteredState(text: string): text is RegisteredState {
-  return Object.hasOwn(RANKS, text);
+  return Object.hasOwn(STATE_ORDER, text);
 }
 
 /**
@@ -53,7 +53,7 @@
  * A report that does not say when its life began is of the one that it is compared with. The
  * generation does not tell lives apart: who hears that a life leaves may not know that it was raised.
  */
-export function compareLives(left: ReplicaEntry, right: ReplicaEntry): number {
+export function compareIncarnations(left: ReplicaEntry, right: ReplicaEntry): number {
   if (left.bornAt === undefined || right.bornAt === undefined) return 0;
   if (left.bornAt === right.bornAt) return 0;
   const generations = (left.generation ?? 0) - (right.generation ?? 0);
@@ -61,7 +61,7 @@
 }
 
 /** Names one life of a replica, unlike its id. */
-export function lifeIdOf({ replicaId, bornAt }: ReplicaEntry): string {
+export function incarnationIdOf({ replicaId, bornAt }: ReplicaEntry): string {
   return bornAt === undefined ? replicaId : `${replicaId}@${bornAt}`;
 }
 
@@ -71,21 +71,21 @@
  * the higher sequence; an entry stays restored only while all reports of it are. Gives back
  * `known` itself when `report` adds nothing.
  */
-export function joinReports(known: ReplicaEntry, report: ReplicaEntry): ReplicaEntry {
-  const order = compareLives(report, known);
+export function mergeReports(known: ReplicaEntry, report: ReplicaEntry): ReplicaEntry {
+  const order = compareIncarnations(report, known);
   if (order !== 0) return order > 0 ? report : known;
-  return joinOfOneLife(known, report);
+  return mergeSameIncarnation(known, report);
 }
 
-function joinOfOneLife(known: ReplicaEntry, report: ReplicaEntry): ReplicaEntry {
-  const state = RANKS[report.state] > RANKS[known.state] ? report.state : known.state;
+function mergeSameIncarnation(known: ReplicaEntry, report: ReplicaEntry): ReplicaEntry {
+  const state = STATE_ORDER[report.state] > STATE_ORDER[known.state] ? report.state : known.state;
   const restored = known.restored === true && report.restored === true;
   const isNewer = report.sequence > known.sequence;
   const isConfirmed = known.restored === true && !restored;
   const bornAt = known.bornAt ?? report.bornAt;
   const generation = Math.max(known.generation ?? 0, report.generation ?? 0);
-  const tellsLife = bornAt !== known.bornAt || generation !== (known.generation ?? 0);
-  if (!isNewer && !isConfirmed && !tellsLife && state === known.state) return known;
-  const joined = { ...(isNewer ? report : known), state, restored };
-  return bornAt === undefined ? joined : { ...joined, bornAt, generation };
+  const changesIncarnation = bornAt !== known.bornAt || generation !== (known.generation ?? 0);
+  if (!isNewer && !isConfirmed && !changesIncarnation && state === known.state) return known;
+  const merged = { ...(isNewer ? report : known), state, restored };
+  return bornAt === undefined ? merged : { ...merged, bornAt, generation };
 }
--- a/src/directory/replica-store.ts
+++ b/src/directory/replica-store.ts
@@ -25,11 +25,11 @@
 /** Changes within this time are written together. */
 const WRITE_INTERVAL_MS = 250;
 /** A replica that was not heard of for so long is no longer stored, unless it leaves. */
-const STORED_SILENCE_MS = 6_000;
+const MAXIMUM_STORED_SILENCE_MS = 6_000;
 /** How often those are looked for. */
-const SILENCE_INTERVAL_MS = 2_000;
+const SILENCE_CHECK_INTERVAL_MS = 2_000;
 /** At least so many times as long as it took to encode them passes before they are written again. */
-const PAUSE_FACTOR = 40;
+const ENCODING_PAUSE_FACTOR = 40;
 /** Pause after a write that failed. */
 const RETRY_INTERVAL_MS = 2_000;
 
@@ -76,37 +76,40 @@
   const { clock, directory, stopped } = parts;
   let isChanged = false;
   let stored: readonly ReplicaEntry[] = [];
-  let lookedAt = clock.now();
+  let checkedAt = clock.now();
   observe(directory.changes, () => (isChanged = true));
   while (!stopped.aborted) {
     await clock.sleep(WRITE_INTERVAL_MS, stopped).catch(() => undefined);
-    const isLookDue = clock.now() - lookedAt > SILENCE_INTERVAL_MS;
-    if ((!isChanged && !isLookDue) || stopped.aborted) continue;
-    lookedAt = clock.now();
+    const isCheckDue = clock.now() - checkedAt > SILENCE_CHECK_INTERVAL_MS;
+    if ((!isChanged && !isCheckDue) || stopped.aborted) continue;
+    checkedAt = clock.now();
     const entries = entriesToStore(parts);
     if (!isChanged && entries.length === stored.length) continue;
     isChanged = false;
-    const begunAt = clock.now();
+    const startedAt = clock.now();
     const content = DIRECTORY_CODEC.encodeBatch(entries.map(replicaMessage));
-    const encodingMs = clock.now() - begunAt;
-    const isStored = await write(parts, content);
+    const encodingMs = clock.now() - startedAt;
+    const isStored = await writeReplicas(parts, content);
     if (isStored) stored = entries;
     else isChanged = true;
-    const pause = isStored ? encodingMs * PAUSE_FACTOR : RETRY_INTERVAL_MS;
+    const pause = isStored ? encodingMs * ENCODING_PAUSE_FACTOR : RETRY_INTERVAL_MS;
     await clock.sleep(pause, stopped).catch(() => undefined);
   }
 }
 
 /** A replica that crashed says nothing, and is not to be known again after a start. */
 function entriesToStore({ clock, directory }: ReplicaStoreParts): readonly ReplicaEntry[] {
-  const oldest = clock.now() - STORED_SILENCE_MS;
+  const oldest = clock.now() - MAXIMUM_STORED_SILENCE_MS;
   return [...directory.all()].filter(
     ({ replicaId, state }) =>
-      state !== RegisteredState.Ready || directory.lastHeard(replicaId) >= oldest,
+      state !== RegisteredState.Ready || directory.lastHeardAt(replicaId) >= oldest,
   );
 }
 
-async function write({ disk, logger }: ReplicaStoreParts, content: Uint8Array): Promise<boolean> {
+async function writeReplicas(
+  { disk, logger }: ReplicaStoreParts,
+  content: Uint8Array,
+): Promise<boolean> {
   try {
     await replaceFile(disk, FOLDER, FILE, content);
     return true;
--- a/src/directory/route-lag-watch.ts
+++ b/src/directory/route-lag-watch.ts
@@ -10,11 +10,11 @@
  * An orderly change is in force sooner, also at a gateway whose near controller is lost, and the
  * stream of a gateway that is gone itself has been closed by then. Milliseconds.
  */
-const LATE_MS = 2_000;
+const LATE_AFTER_MS = 2_000;
 /** A line that gateways lack it is written at most this often. Milliseconds. */
-const LINE_INTERVAL_MS = 5_000;
+const WARNING_INTERVAL_MS = 5_000;
 /** Gateways that a line names. */
-const NAMED_GATEWAYS = 3;
+const MAXIMUM_LISTED_GATEWAYS = 3;
 
 /** What the watch looks at. */
 export interface RouteLagWatchParts {
@@ -27,34 +27,34 @@
 }
 
 function isLate({ lackingMs }: GatewayRoutes): boolean {
-  return lackingMs !== undefined && lackingMs > LATE_MS;
+  return lackingMs !== undefined && lackingMs > LATE_AFTER_MS;
 }
 
 /** See the module comment. */
 export class RouteLagWatch {
   private isLate = false;
-  private lastLineAt = -Infinity;
+  private lastWarningAt = -Infinity;
 
   constructor(private readonly parts: RouteLagWatchParts) {}
 
   /** Looks once; call it a few times a second. */
-  look(): void {
+  check(): void {
     const late = this.parts.gateways().filter(isLate);
-    if (late.length === 0) this.noteCaughtUp();
-    else this.noteLate(late);
+    if (late.length === 0) this.logCaughtUp();
+    else this.warnIfDue(late);
   }
 
-  private noteLate(late: readonly GatewayRoutes[]): void {
+  private warnIfDue(late: readonly GatewayRoutes[]): void {
     const { clock, logger, version } = this.parts;
     const now = clock.now();
-    if (now - this.lastLineAt < LINE_INTERVAL_MS) return;
+    if (now - this.lastWarningAt < WARNING_INTERVAL_MS) return;
     this.isLate = true;
-    this.lastLineAt = now;
+    this.lastWarningAt = now;
     const longest = [...late].sort((left, right) => (right.lackingMs ?? 0) - (left.lackingMs ?? 0));
     logger.warn('gateways lack the route document', {
       version: version(),
       gateways: late.length,
-      longest: longest.slice(0, NAMED_GATEWAYS).map((routes) => ({
+      longest: longest.slice(0, MAXIMUM_LISTED_GATEWAYS).map((routes) => ({
         gateway: routes.gateway,
         inForce: routes.version,
         lackingMs: Math.round(routes.lackingMs ?? 0),
@@ -63,7 +63,7 @@
     });
   }
 
-  private noteCaughtUp(): void {
+  private logCaughtUp(): void {
     if (!this.isLate) return;
     this.isLate = false;
     this.parts.logger.info('gateways have the route document', { version: this.parts.version() });
--- a/src/directory/version-confirmer.ts
+++ b/src/directory/version-confirmer.ts
@@ -21,7 +21,7 @@
 }
 
 /** A question that waits for a barrier. */
-interface WaitingAsk {
+interface PendingRequest {
   readonly number: number;
   readonly answer: (message: VersionConfirmedMessage) => void;
 }
@@ -29,9 +29,9 @@
 /** See the module comment. */
 export class VersionConfirmer {
   private readonly confirmations: Counter<'result'>;
-  private waiting: WaitingAsk[] = [];
+  private pending: PendingRequest[] = [];
   private isScheduled = false;
-  private lastBegunAt = -Infinity;
+  private lastBarrierAt = -Infinity;
 
   constructor(private readonly parts: VersionConfirmerParts) {
     this.confirmations = new Counter({
@@ -43,25 +43,26 @@
   }
 
   /** Calls `answer` once it is proven which version is in force; never when that fails. */
-  ask(number: number, answer: (message: VersionConfirmedMessage) => void): void {
-    this.waiting.push({ number, answer });
+  requestConfirmation(number: number, answer: (message: VersionConfirmedMessage) => void): void {
+    this.pending.push({ number, answer });
     if (this.isScheduled) return;
     this.isScheduled = true;
     const { clock } = this.parts;
-    const pause = this.lastBegunAt + CONFIRMATION_INTERVAL_MS - clock.now();
+    const pause = this.lastBarrierAt + CONFIRMATION_INTERVAL_MS - clock.now();
     if (pause > 0) clock.setTimer(pause, () => void this.confirm());
     else void this.confirm();
   }
 
   private async confirm(): Promise<void> {
-    const asks = this.waiting;
-    this.waiting = [];
+    const requests = this.pending;
+    this.pending = [];
     this.isScheduled = false;
-    this.lastBegunAt = this.parts.clock.now();
+    this.lastBarrierAt = this.parts.clock.now();
     const isProven = await this.parts.barrier.pass();
-    this.confirmations.inc({ result: isProven ? 'confirmed' : 'unproven' }, asks.length);
+    this.confirmations.inc({ result: isProven ? 'confirmed' : 'unproven' }, requests.length);
     if (!isProven) return;
     const version = this.parts.version() ?? NO_DOCUMENT;
-    for (const { number, answer } of asks) answer({ kind: 'versionConfirmed', number, version });
+    for (const { number, answer } of requests)
+      answer({ kind: 'versionConfirmed', number, version });
   }
 }
--- a/src/gateway/attempt-evidence.ts
+++ b/src/gateway/attempt-evidence.ts
@@ -2,7 +2,7 @@
  * What the end of an attempt says of the request: whether it may be what ends the replicas
  * that run it.
  */
-import { lifeIdOf } from '../directory/replica-entry.js';
+import { incarnationIdOf } from '../directory/replica-entry.js';
 import { HttpClientError } from '../errors/http-client-error.js';
 import { describeRequest } from '../quarantine/quarantine-entry.js';
 import { TrialResult } from '../quarantine/quarantine-metrics.js';
@@ -34,7 +34,7 @@
 export function recordCrashEvidence(context: GatewayContext, attempt: EndedAttempt): void {
   const { crashGuard, environment, targets } = context;
   const { request, target, result, isTrial } = attempt;
-  const replicaId = lifeIdOf(target.entry);
+  const replicaId = incarnationIdOf(target.entry);
   // One that has said that it leaves ends on purpose.
   if (isConnectionLost(result) && targets.isRegistered(target)) {
     crashGuard.recordReplicaLoss(replicaId);
@@ -70,7 +70,7 @@
   const hasEnded = isRefusing || target.successor !== undefined;
   const hasLeft = !targets.isRegistered(target);
   if (!hasLeft)
-    crashGuard.recordTermination(describeWatched(request), lifeIdOf(target.entry), hasEnded);
+    crashGuard.recordTermination(describeWatched(request), incarnationIdOf(target.entry), hasEnded);
   const result = hasEnded ? TrialResult.ReplicaEnded : TrialResult.Undecided;
   crashGuard.endTrial(request.fingerprint, result);
 }
--- a/src/gateway/create-directory-client.ts
+++ b/src/gateway/create-directory-client.ts
@@ -35,6 +35,6 @@
     subscriberKind: SubscriberKind.Gateway,
     zone,
   });
-  client.useSeeds(controllers.map(formatAddress));
+  client.setSeeds(controllers.map(formatAddress));
   return client;
 }
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -58,7 +58,7 @@
   ) {
     const { name } = configuration;
     this.logger = telemetry.logger.child({ gateway: name });
-    this.directory = new ReplicaDirectory(environment.clock, DirectoryKind.HearsChanges);
+    this.directory = new ReplicaDirectory(environment.clock, DirectoryKind.ReceivesChanges);
     this.traffic = new ZoneTraffic(configuration.zone, telemetry.registry);
     const { directory, logger, identity, traffic } = this;
     this.client = createDirectoryClient({
@@ -124,7 +124,7 @@
 
   /** Replaces the seed controllers; the gateway may also follow controllers that the seeds name. */
   useControllers(addresses: readonly Address[]): void {
-    this.client.useSeeds(addresses.map(formatAddress));
+    this.client.setSeeds(addresses.map(formatAddress));
   }
 
   /**
@@ -210,7 +210,7 @@
       lease: this.tenants.lease,
       quota: this.tenants.quota,
       countGateways: () => this.client.gateways,
-      reportEvidence: (change) => this.client.reportEvidence(change),
+      reportEvidence: (change) => this.client.reportCrashEvidence(change),
     });
   }
 
--- a/src/gateway/gateway-tenants.ts
+++ b/src/gateway/gateway-tenants.ts
@@ -82,7 +82,7 @@
     return new LeaseRenewal({
       clock,
       keeper: new LeaseKeeper({ clock, random, boundMs }),
-      send: ({ number, unanswered }) => client.askVersion(number, unanswered),
+      send: ({ number, unanswered }) => client.requestVersionConfirmation(number, unanswered),
       ...telemetry,
       stopped,
     });
--- a/src/gateway/service-targets.ts
+++ b/src/gateway/service-targets.ts
@@ -5,7 +5,7 @@
  */
 import { observe } from '../control-stream/observe.js';
 import type { ReplicaDirectory } from '../directory/replica-directory.js';
-import { RegisteredState, lifeIdOf, type ReplicaEntry } from '../directory/replica-entry.js';
+import { RegisteredState, incarnationIdOf, type ReplicaEntry } from '../directory/replica-entry.js';
 import { parseAddress } from '../seams/address.js';
 import type { Environment } from '../seams/environment.js';
 import { ColdSendLimiter } from './cold-send-limiter.js';
@@ -26,7 +26,8 @@
 function isSameProcess(known: ReplicaEntry, entry: ReplicaEntry): boolean {
   const isSameEndpoint = known.address === entry.address && known.service === entry.service;
   // Until the start of a life is known, it is the one that is known.
-  const isSameIncarnation = known.bornAt === undefined || lifeIdOf(known) === lifeIdOf(entry);
+  const isSameIncarnation =
+    known.bornAt === undefined || incarnationIdOf(known) === incarnationIdOf(entry);
   return isSameEndpoint && isSameIncarnation;
 }
 
--- a/src/membership/held-snapshots.ts
+++ b/src/membership/held-snapshots.ts
@@ -4,7 +4,7 @@
  * How long a replica's own "not held" outweighs a report that says "held":
  * reports lag, a reply does not. Milliseconds.
  */
-const DENIAL_LIFETIME = 1_000;
+const DENIAL_LIFETIME_MS = 1_000;
 
 /** Snapshots in the form `epoch.version`. */
 export class HeldSnapshots {
@@ -23,9 +23,10 @@
   replace(reported: readonly string[], now: number): boolean {
     this.forgetOldDenials(now);
     const next = new Set(reported.filter((snapshot) => !this.denials.has(snapshot)));
-    const same = next.size === this.held.size && [...next].every((each) => this.held.has(each));
+    const isUnchanged =
+      next.size === this.held.size && [...next].every((each) => this.held.has(each));
     this.held = next;
-    return !same;
+    return !isUnchanged;
   }
 
   /** An answer was drawn from `snapshot`; true when the belief changed. */
@@ -38,7 +39,7 @@
 
   /** The replica said it does not hold `snapshot`; true when the belief changed. */
   deny(snapshot: string, now: number): boolean {
-    this.denials.set(snapshot, now + DENIAL_LIFETIME);
+    this.denials.set(snapshot, now + DENIAL_LIFETIME_MS);
     return this.held.delete(snapshot);
   }
 
--- a/src/membership/replica-channel.ts
+++ b/src/membership/replica-channel.ts
@@ -19,9 +19,9 @@
  * millisecond; a machine lost in silence costs an attempt this much. See "Time
  * allowed to connect" in docs/RESULTS.md. Milliseconds.
  */
-const CONNECT_TIMEOUT = 250;
+const CONNECT_TIMEOUT_MS = 250;
 /** Idle connections are closed after this time, below the usual 5 s of servers. Milliseconds. */
-const KEEP_ALIVE_TIMEOUT = 4_000;
+const KEEP_ALIVE_TIMEOUT_MS = 4_000;
 
 /** How one router divides its share of a replica's connections. */
 export interface ConnectionShare {
@@ -40,8 +40,8 @@
 
 /** Sends requests to one replica. */
 export class ReplicaChannel {
-  private readonly kept: HttpClient;
-  private readonly fresh: HttpClient;
+  private readonly keepAliveClient: HttpClient;
+  private readonly freshClient: HttpClient;
   private readonly share: ConnectionShare;
   private readonly slots: number;
 
@@ -51,11 +51,11 @@
     const address = parseAddress(replica.address);
     const bounds = {
       maximumResponseBytes,
-      connectTimeout: CONNECT_TIMEOUT,
-      keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
+      connectTimeout: CONNECT_TIMEOUT_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     };
-    this.kept = network.httpClient(address, { ...bounds, connections: this.share.kept });
-    this.fresh = network.httpClient(address, { ...bounds, connections: this.share.fresh });
+    this.keepAliveClient = network.httpClient(address, { ...bounds, connections: this.share.kept });
+    this.freshClient = network.httpClient(address, { ...bounds, connections: this.share.fresh });
   }
 
   /**
@@ -69,12 +69,12 @@
 
   /** @throws HttpClientError as the client does. */
   send(request: HttpClientRequest): Promise<HttpClientResponse> {
-    const client = request.freshConnection === true ? this.fresh : this.kept;
+    const client = request.freshConnection === true ? this.freshClient : this.keepAliveClient;
     return client.request(request);
   }
 
   /** Closes idle connections now and the others as they finish. */
   async close(): Promise<void> {
-    await Promise.all([this.kept.close(), this.fresh.close()]);
+    await Promise.all([this.keepAliveClient.close(), this.freshClient.close()]);
   }
 }
--- a/src/membership/replica-poller.ts
+++ b/src/membership/replica-poller.ts
@@ -6,14 +6,14 @@
 import type { ReplicaRecord } from './replica-record.js';
 
 /** Mean time between two reports. Milliseconds. */
-export const REPORT_INTERVAL = 500;
+export const REPORT_INTERVAL_MS = 500;
 /** Each wait differs from the mean by up to this part, so that routers do not poll in step. */
-const REPORT_JITTER = 0.2;
+const REPORT_JITTER_FRACTION = 0.2;
 /**
  * A report that takes longer counts as missed. Short enough that the third miss
  * in a row comes within 3 s of the first. Milliseconds.
  */
-export const REPORT_TIMEOUT = 800;
+export const REPORT_TIMEOUT_MS = 800;
 
 /** Where reports go. */
 export interface ReportSink {
@@ -45,7 +45,7 @@
     while (!signal.aborted) {
       await this.pollOnce();
       this.resolveFirstPoll();
-      await this.clock.sleep(this.nextWait(), signal).catch(() => undefined);
+      await this.clock.sleep(this.nextDelayMs(), signal).catch(() => undefined);
     }
   }
 
@@ -67,7 +67,7 @@
   private async fetchReport(): Promise<BackendReport | undefined> {
     const timeout = new AbortController();
     const abort = (): void => timeout.abort(new Error('report timeout'));
-    const timer = this.clock.setTimer(REPORT_TIMEOUT, abort);
+    const timer = this.clock.setTimer(REPORT_TIMEOUT_MS, abort);
     this.stopped.signal.addEventListener('abort', abort, { once: true });
     try {
       const response = await this.record.channel.send({
@@ -85,7 +85,7 @@
     }
   }
 
-  private nextWait(): number {
-    return REPORT_INTERVAL * (1 + REPORT_JITTER * (2 * this.random.nextFloat() - 1));
+  private nextDelayMs(): number {
+    return REPORT_INTERVAL_MS * (1 + REPORT_JITTER_FRACTION * (2 * this.random.nextFloat() - 1));
   }
 }
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -21,8 +21,8 @@
   private readonly latency = new SmoothedValue(LATENCY_WEIGHT);
   private readonly failures = new SmoothedValue(FAILURE_WEIGHT);
   private readonly snapshots = new HeldSnapshots();
-  private sign: LivenessReport | undefined;
-  private firstSeen: number;
+  private livenessReport: LivenessReport | undefined;
+  private firstSeenAt: number;
   private missedReports = 0;
   private lastLoad: { readonly load: number; readonly at: number } | undefined;
 
@@ -30,10 +30,10 @@
     readonly replica: ReplicaDefinition,
     readonly channel: ReplicaChannel,
     private readonly clock: Clock,
-    knownSign?: LivenessReport,
+    lastLivenessReport?: LivenessReport,
   ) {
-    this.sign = knownSign;
-    this.firstSeen = clock.now();
+    this.livenessReport = lastLivenessReport;
+    this.firstSeenAt = clock.now();
   }
 
   get inFlight(): number {
@@ -54,21 +54,21 @@
   }
 
   get age(): number {
-    return this.clock.now() - this.firstSeen;
+    return this.clock.now() - this.firstSeenAt;
   }
 
-  get knownSign(): LivenessReport | undefined {
-    return this.sign;
+  get lastLivenessReport(): LivenessReport | undefined {
+    return this.livenessReport;
   }
 
   /** The process that answers now, as far as is known. */
   get process(): ReplicaProcess {
-    return { replicaId: this.replica.replicaId, incarnation: this.sign?.incarnation };
+    return { replicaId: this.replica.replicaId, incarnation: this.livenessReport?.incarnation };
   }
 
   /** False once any sign of this incarnation said it is draining or gone. */
   get isLive(): boolean {
-    return this.sign === undefined || this.sign.state === 'live';
+    return this.livenessReport === undefined || this.livenessReport.state === 'live';
   }
 
   /** True while its reports do not arrive; one missed report is not enough. */
@@ -109,28 +109,29 @@
   }
 
   /** Takes a sign over unless something newer is known; true when it was news. */
-  applySign(sign: LivenessReport): boolean {
-    const known = this.sign;
-    if (known !== undefined && !supersedes(sign, known)) return false;
-    this.sign = sign;
-    if (known !== undefined && known.incarnation !== sign.incarnation) this.beginIncarnation();
+  applyLivenessReport(report: LivenessReport): boolean {
+    const known = this.livenessReport;
+    if (known !== undefined && !supersedes(report, known)) return false;
+    this.livenessReport = report;
+    if (known !== undefined && known.incarnation !== report.incarnation) this.beginIncarnation();
     this.wakeRoomWaiters();
     return true;
   }
 
   /** Takes a report over, unless it is of an earlier incarnation than the one known. */
   applyReport(report: BackendReport): boolean {
-    const suspectBefore = this.isSuspect;
+    const wasSuspect = this.isSuspect;
     this.missedReports = 0;
-    if (this.sign !== undefined && report.incarnation < this.sign.incarnation) return suspectBefore;
+    if (this.livenessReport !== undefined && report.incarnation < this.livenessReport.incarnation)
+      return wasSuspect;
     this.recordLoad(report.load);
-    const isNews = this.snapshots.replace(report.snapshots, this.clock.now());
-    if (isNews || suspectBefore) this.wakeRoomWaiters();
-    return isNews || suspectBefore;
+    const haveSnapshotsChanged = this.snapshots.replace(report.snapshots, this.clock.now());
+    if (haveSnapshotsChanged || wasSuspect) this.wakeRoomWaiters();
+    return haveSnapshotsChanged || wasSuspect;
   }
 
   /** A report did not arrive; true when the replica became suspect by it. */
-  missReport(): boolean {
+  recordMissedReport(): boolean {
     this.missedReports += 1;
     if (this.missedReports !== SUSPECT_AFTER_MISSED_REPORTS) return false;
     this.wakeRoomWaiters();
@@ -160,9 +161,9 @@
   }
 
   recordSnapshotNotHeld(snapshot: string): boolean {
-    const isNews = this.snapshots.deny(snapshot, this.clock.now());
-    if (isNews) this.wakeRoomWaiters();
-    return isNews;
+    const haveSnapshotsChanged = this.snapshots.deny(snapshot, this.clock.now());
+    if (haveSnapshotsChanged) this.wakeRoomWaiters();
+    return haveSnapshotsChanged;
   }
 
   /** What may be sent to it has changed, so everyone who waits for it looks again. */
@@ -175,6 +176,6 @@
     this.latency.reset();
     this.failures.reset();
     this.lastLoad = undefined;
-    this.firstSeen = this.clock.now();
+    this.firstSeenAt = this.clock.now();
   }
 }
--- a/src/membership/replica-registry.ts
+++ b/src/membership/replica-registry.ts
@@ -15,7 +15,7 @@
 import { ReplicaRecord } from './replica-record.js';
 
 /** Signs kept of replicas that the configuration does not name. */
-const MAXIMUM_OTHER_SIGNS = 10_000;
+const MAXIMUM_UNCONFIGURED_REPORTS = 10_000;
 
 /** What the registry needs besides the seams. */
 export interface RegistryOptions {
@@ -45,17 +45,17 @@
   /** Grows whenever what may be sent where has changed; caches of plans compare it. */
   generation = 0;
   /** Signs first seen here, to be told to others. */
-  readonly ownSigns: Stream<LivenessReport>;
-  private readonly emitSign: (sign: LivenessReport) => void;
+  readonly ownLivenessReports: Stream<LivenessReport>;
+  private readonly emitLivenessReport: (report: LivenessReport) => void;
   private readonly entries = new Map<string, Entry>();
   /** Newest sign of each replica that is not in the configuration, yet or any more. */
-  private readonly otherSigns = new Map<string, LivenessReport>();
+  private readonly unconfiguredReports = new Map<string, LivenessReport>();
 
   constructor(
     private readonly environment: Environment,
     private readonly options: RegistryOptions,
   ) {
-    [this.emitSign, this.ownSigns] = createAdapter<LivenessReport>();
+    [this.emitLivenessReport, this.ownLivenessReports] = createAdapter<LivenessReport>();
   }
 
   get(replicaId: string): ReplicaRecord | undefined {
@@ -82,25 +82,25 @@
   }
 
   /** Joins a sign from another daemon or the platform list. */
-  applySign(sign: LivenessReport): boolean {
-    const record = this.get(sign.replicaId);
-    if (record === undefined) this.keepOtherSign(sign);
-    if (record === undefined || !record.applySign(sign)) return false;
+  applyLivenessReport(report: LivenessReport): boolean {
+    const record = this.get(report.replicaId);
+    if (record === undefined) this.keepUnconfiguredReport(report);
+    if (record === undefined || !record.applyLivenessReport(report)) return false;
     this.generation += 1;
-    if (sign.state !== 'live') {
-      const { replicaId, state, incarnation, observedBy } = sign;
+    if (report.state !== 'live') {
+      const { replicaId, state, incarnation, observedBy } = report;
       this.options.logger.info('replica leaving', { replicaId, state, incarnation, observedBy });
     }
     return true;
   }
 
   onReport(record: ReplicaRecord, report: BackendReport): void {
-    this.observe(record, report.incarnation, report.draining);
+    this.applyOwnObservation(record, report.incarnation, report.draining);
     if (record.applyReport(report)) this.generation += 1;
   }
 
   onMissedReport(record: ReplicaRecord): void {
-    if (!record.missReport()) return;
+    if (!record.recordMissedReport()) return;
     this.generation += 1;
     const { replicaId } = record.replica;
     this.options.logger.warn('replica does not report', { replicaId });
@@ -108,7 +108,7 @@
 
   /** Joins what a verified reply said of its sender. */
   onReplyMark(record: ReplicaRecord, mark: ReplyMark): void {
-    this.observe(record, mark.incarnation, mark.draining);
+    this.applyOwnObservation(record, mark.incarnation, mark.draining);
     if (mark.load !== undefined) record.recordLoad(mark.load);
   }
 
@@ -129,28 +129,28 @@
     await Promise.all(entries.map(({ record }) => record.channel.close()));
   }
 
-  private keepOtherSign(sign: LivenessReport): void {
-    const known = this.otherSigns.get(sign.replicaId);
-    if (known !== undefined && !supersedes(sign, known)) return;
-    this.otherSigns.delete(sign.replicaId);
-    this.otherSigns.set(sign.replicaId, sign);
-    const [oldest] = this.otherSigns.keys();
-    const isFull = this.otherSigns.size > MAXIMUM_OTHER_SIGNS;
-    if (isFull && oldest !== undefined) this.otherSigns.delete(oldest);
+  private keepUnconfiguredReport(report: LivenessReport): void {
+    const known = this.unconfiguredReports.get(report.replicaId);
+    if (known !== undefined && !supersedes(report, known)) return;
+    this.unconfiguredReports.delete(report.replicaId);
+    this.unconfiguredReports.set(report.replicaId, report);
+    const [oldest] = this.unconfiguredReports.keys();
+    const isFull = this.unconfiguredReports.size > MAXIMUM_UNCONFIGURED_REPORTS;
+    if (isFull && oldest !== undefined) this.unconfiguredReports.delete(oldest);
   }
 
-  private observe(record: ReplicaRecord, incarnation: number, draining: boolean): void {
+  private applyOwnObservation(record: ReplicaRecord, incarnation: number, draining: boolean): void {
     const { replicaId } = record.replica;
-    const known = record.knownSign;
+    const known = record.lastLivenessReport;
     const state = draining ? 'draining' : 'live';
-    const sign: LivenessReport = {
+    const report: LivenessReport = {
       replicaId,
       incarnation,
       state,
       observedBy: this.options.observer,
     };
-    if (!this.applySign(sign)) return;
-    if (draining || known !== undefined) this.emitSign(sign);
+    if (!this.applyLivenessReport(report)) return;
+    if (draining || known !== undefined) this.emitLivenessReport(report);
   }
 
   private addOrReplace(definition: ReplicaDefinition): void {
@@ -159,9 +159,10 @@
     if (existing !== undefined) this.remove(definition.replicaId);
     const { clock, network, random } = this.environment;
     const channel = new ReplicaChannel(network, definition, this.options.maximumReplyBytes);
-    const knownSign = existing?.knownSign ?? this.otherSigns.get(definition.replicaId);
-    this.otherSigns.delete(definition.replicaId);
-    const record = new ReplicaRecord(definition, channel, clock, knownSign);
+    const lastReport =
+      existing?.lastLivenessReport ?? this.unconfiguredReports.get(definition.replicaId);
+    this.unconfiguredReports.delete(definition.replicaId);
+    const record = new ReplicaRecord(definition, channel, clock, lastReport);
     const poller = new ReplicaPoller(record, this, clock, random);
     this.entries.set(definition.replicaId, { record, poller, task: poller.run() });
   }
@@ -170,8 +171,8 @@
     const entry = this.entries.get(replicaId);
     if (entry === undefined) return;
     this.entries.delete(replicaId);
-    const { knownSign } = entry.record;
-    if (knownSign !== undefined) this.keepOtherSign(knownSign);
+    const { lastLivenessReport: lastLivenessReport } = entry.record;
+    if (lastLivenessReport !== undefined) this.keepUnconfiguredReport(lastLivenessReport);
     entry.poller.stop();
     void entry.task.then(() => entry.record.channel.close()).catch(() => undefined);
   }
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -142,8 +142,8 @@
     this.logger.info('router listening', { http: formatAddress(this.address) });
     const { registry } = this.context;
     this.subscribe(this.source.revisions, (state) => this.applyRevision(state));
-    this.subscribe(this.source.livenessReports, (sign) => registry.applySign(sign));
-    this.subscribe(registry.ownSigns, (sign) => this.source.reportReplicaState(sign));
+    this.subscribe(this.source.livenessReports, (sign) => registry.applyLivenessReport(sign));
+    this.subscribe(registry.ownLivenessReports, (sign) => this.source.reportReplicaState(sign));
     const current = this.source.current();
     if (current !== undefined) this.applyRevision(current);
   }
--- a/test/control/automatic-group.ts
+++ b/test/control/automatic-group.ts
@@ -74,12 +74,12 @@
 
   /** Starts `founders` controllers for the first time, of which the first three are the seeds. */
   static async start(
-    founders: number,
+    founderCount: number,
     seed = 7,
     options: AutomaticGroupOptions = {},
   ): Promise<AutomaticGroup> {
     const group = new AutomaticGroup(seed, options);
-    for (let index = 0; index < founders; index += 1) group.addMachine();
+    for (let index = 0; index < founderCount; index += 1) group.addMachine();
     group.seeds = group.machines.slice(0, 3).map(({ host }) => `${host}:${MESSAGE_PORT}`);
     for (const machine of group.machines) await group.startOn(machine, true);
     await group.simulation.runFor(SETTLE_MS);
--- a/test/control/controller-daemon.test.ts
+++ b/test/control/controller-daemon.test.ts
@@ -67,7 +67,7 @@
 }
 
 /** Sets one key, as an operator would; makes revision `revision`. */
-async function accept(daemon: ControllerDaemon, revision: number): Promise<void> {
+async function acceptRevision(daemon: ControllerDaemon, revision: number): Promise<void> {
   const response = await request(daemon, '/v1/changes', {
     changeId: `change-${revision}`,
     baseRevision: revision - 1,
@@ -79,7 +79,7 @@
 }
 
 /** Resolves once `revision` is in force at the daemon. */
-function inForce(source: ConfigurationSource, revision: number): Promise<void> {
+function waitUntilInForce(source: ConfigurationSource, revision: number): Promise<void> {
   return new Promise((resolve) => {
     const check = (): void => {
       if (source.current()?.revision !== revision) return;
@@ -95,7 +95,7 @@
  * Resolves once the controller's metrics hold `line`. On a busy machine the
  * stream may break and come back between any two moments.
  */
-async function metricShown(daemon: ControllerDaemon, line: string): Promise<void> {
+async function waitForMetricLine(daemon: ControllerDaemon, line: string): Promise<void> {
   let text: string;
   do text = await (await request(daemon, '/metrics')).text();
   while (!text.split('\n').includes(line));
@@ -115,24 +115,24 @@
   it('puts an accepted change in force at a daemon, and tells that it is', async () => {
     const controller = await startController();
     const client = startClient(controller);
-    await inForce(client, 0);
-    await accept(controller, 1);
-    await inForce(client, 1);
+    await waitUntilInForce(client, 0);
+    await acceptRevision(controller, 1);
+    await waitUntilInForce(client, 1);
     expect(client.freshness().committedRevision).toBe(1);
     expect((await request(controller, '/readyz')).status).toBe(200);
-    await metricShown(controller, 'driftway_control_stream_subscribers 1');
+    await waitForMetricLine(controller, 'driftway_control_stream_subscribers 1');
   });
 
   it('comes back with what was last accepted, and daemons find it again', async () => {
     const first = await startController();
     const client = startClient(first);
-    for (let revision = 1; revision <= 300; revision += 1) await accept(first, revision);
-    await inForce(client, 300);
+    for (let revision = 1; revision <= 300; revision += 1) await acceptRevision(first, revision);
+    await waitUntilInForce(client, 300);
     const address = formatAddress(first.messageAddress);
     await first.stop();
     const second = await startController(address);
-    await accept(second, 301);
-    await inForce(client, 301);
+    await acceptRevision(second, 301);
+    await waitUntilInForce(client, 301);
     const response = await request(second, '/v1/changes/change-300');
     expect(await response.json()).toMatchObject({ revision: 300 });
   });
--- a/test/control/controller-group.test.ts
+++ b/test/control/controller-group.test.ts
@@ -92,14 +92,14 @@
       }),
     );
     const { client } = group.startDaemon('router-1', 'nayoro');
-    const signs: LivenessReport[] = [];
-    observe(client.livenessReports, (sign) => signs.push(sign));
+    const reports: LivenessReport[] = [];
+    observe(client.livenessReports, (sign) => reports.push(sign));
     const machine = { replicaId: 'replica-1', incarnation: 1 };
     for (const state of ['live', 'draining', 'live', 'gone'] as const) {
       list.set({ ...machine, state });
       await simulation.runFor(3_000);
     }
-    expect(signs.map(({ state }) => state)).toEqual(['live', 'draining', 'gone']);
-    expect(new Set(signs.map(({ observedBy }) => observedBy))).toEqual(new Set(['platform']));
+    expect(reports.map(({ state }) => state)).toEqual(['live', 'draining', 'gone']);
+    expect(new Set(reports.map(({ observedBy }) => observedBy))).toEqual(new Set(['platform']));
   });
 });
--- a/test/control/controller-group.ts
+++ b/test/control/controller-group.ts
@@ -42,7 +42,7 @@
   readonly client: ControlStreamClient;
   /** Every revision put in force, in order. */
   readonly revisions: number[] = [];
-  readonly signs: LivenessReport[] = [];
+  readonly livenessReports: LivenessReport[] = [];
 
   constructor(
     readonly host: SimulatedMachine,
@@ -53,7 +53,7 @@
     const configuration = { name, zone, cluster: CLUSTER, controllers };
     this.client = ControlStreamClient.start(environment, configuration, telemetry(), faults);
     observe(this.client.revisions, ({ revision }) => this.revisions.push(revision));
-    observe(this.client.livenessReports, (sign) => this.signs.push(sign));
+    observe(this.client.livenessReports, (sign) => this.livenessReports.push(sign));
   }
 
   get revision(): number | undefined {
@@ -134,13 +134,13 @@
   async request<T>(host: SimulatedMachine, path: string, body?: object): Promise<T> {
     const address = { host: host.host, port: HTTP_PORT };
     const client = this.operator.environment.network.httpClient(address, HTTP_CLIENT_OPTIONS);
-    const requesting = client.request({
+    const pendingResponse = client.request({
       method: body === undefined ? 'GET' : 'POST',
       path,
       headers: { authorization: `Bearer ${TOKEN}`, 'content-type': 'application/json' },
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
     });
-    const response = await this.simulation.settle(requesting);
+    const response = await this.simulation.settle(pendingResponse);
     const closing = client.close();
     await this.simulation.settle(closing);
     const text = Buffer.from(response.body).toString('utf8');
--- a/test/control/cuts-and-restarts.test.ts
+++ b/test/control/cuts-and-restarts.test.ts
@@ -24,7 +24,7 @@
 }
 
 /** Runs on; whether every daemon called its configuration fresh all the while. */
-async function staysFreshFor(milliseconds: number): Promise<boolean> {
+async function areFreshThroughout(milliseconds: number): Promise<boolean> {
   let fresh = true;
   for (let passed = 0; passed < milliseconds; passed += CHECK_INTERVAL_MS) {
     await group.simulation.runFor(CHECK_INTERVAL_MS);
@@ -81,11 +81,11 @@
   it('one after the other as planned leave no daemon stale, and changes go on', async () => {
     for (const index of ZONES.keys()) {
       const stopping = (group.controllers[index] ?? expect.fail('no controller')).stop();
-      expect(await staysFreshFor(5_000)).toBe(true);
+      expect(await areFreshThroughout(5_000)).toBe(true);
       await group.simulation.settle(stopping);
       group.hostAt(index).restart({ keepDisk: true });
       await group.startController(index);
-      expect(await staysFreshFor(ELECTION_MS)).toBe(true);
+      expect(await areFreshThroughout(ELECTION_MS)).toBe(true);
       await group.accept(index, index + 1);
       await group.simulation.runFor(IN_FORCE_WITHIN_MS);
     }
--- a/test/control/evacuations.test.ts
+++ b/test/control/evacuations.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { AutomaticGroup, SETTLE_MS } from './automatic-group.js';
 
-async function give(
+async function submitOrder(
   group: AutomaticGroup,
   method: 'PUT' | 'DELETE',
   zone: string,
@@ -11,7 +11,7 @@
   return (await group.call(machine, method, `/v1/evacuations/${zone}`)).status;
 }
 
-async function read(group: AutomaticGroup, controller = 0): Promise<unknown> {
+async function readEvacuatedZones(group: AutomaticGroup, controller = 0): Promise<unknown> {
   const { status, body } = await group.call(group.machineAt(controller), 'GET', '/v1/evacuations');
   expect(status).toBe(200);
   return (JSON.parse(Buffer.from(body).toString('utf8')) as { zones: string[] }).zones;
@@ -20,21 +20,21 @@
 describe('orders to evacuate a zone', () => {
   it('are taken by any controller, and again without a change', async () => {
     const group = await AutomaticGroup.start(3);
-    expect(await give(group, 'PUT', 'nayoro', 1)).toBe(200);
-    expect(await give(group, 'PUT', 'nayoro', 2)).toBe(200);
-    expect(await give(group, 'PUT', 'wakkanai', 0)).toBe(200);
-    expect(await read(group, 2)).toEqual(['nayoro', 'wakkanai']);
-    expect(await give(group, 'DELETE', 'nayoro', 0)).toBe(200);
-    expect(await give(group, 'DELETE', 'nayoro', 1)).toBe(200);
-    expect(await read(group, 0)).toEqual(['wakkanai']);
+    expect(await submitOrder(group, 'PUT', 'nayoro', 1)).toBe(200);
+    expect(await submitOrder(group, 'PUT', 'nayoro', 2)).toBe(200);
+    expect(await submitOrder(group, 'PUT', 'wakkanai', 0)).toBe(200);
+    expect(await readEvacuatedZones(group, 2)).toEqual(['nayoro', 'wakkanai']);
+    expect(await submitOrder(group, 'DELETE', 'nayoro', 0)).toBe(200);
+    expect(await submitOrder(group, 'DELETE', 'nayoro', 1)).toBe(200);
+    expect(await readEvacuatedZones(group, 0)).toEqual(['wakkanai']);
   });
 
   it('are refused for a zone that the deployment does not have', async () => {
     const group = await AutomaticGroup.start(3);
-    expect(await give(group, 'PUT', 'elsewhere')).toBe(404);
-    expect(await give(group, 'PUT', '')).toBe(404);
-    expect(await give(group, 'PUT', '%ff')).toBe(400);
-    expect(await read(group)).toEqual([]);
+    expect(await submitOrder(group, 'PUT', 'elsewhere')).toBe(404);
+    expect(await submitOrder(group, 'PUT', '')).toBe(404);
+    expect(await submitOrder(group, 'PUT', '%ff')).toBe(400);
+    expect(await readEvacuatedZones(group)).toEqual([]);
   });
 
   it('given at two controllers at once leave one of the two outcomes everywhere', async () => {
@@ -46,37 +46,37 @@
       ]),
     );
     expect(statuses.map(({ status }) => status)).toEqual([200, 200]);
-    const zones = await read(group, 2);
-    expect(await read(group, 0)).toEqual(zones);
-    expect(await read(group, 1)).toEqual(zones);
+    const zones = await readEvacuatedZones(group, 2);
+    expect(await readEvacuatedZones(group, 0)).toEqual(zones);
+    expect(await readEvacuatedZones(group, 1)).toEqual(zones);
   });
 
   it('outlive a loss of all power, and of one disk', async () => {
     const group = await AutomaticGroup.start(3);
-    expect(await give(group, 'PUT', 'nayoro')).toBe(200);
+    expect(await submitOrder(group, 'PUT', 'nayoro')).toBe(200);
     for (const machine of group.machines) machine.crash({ power: true });
     const [first, ...others] = group.machines;
     if (first === undefined) return expect.fail('no controllers');
     await group.restart(first, false);
     for (const machine of others) await group.restart(machine, true);
     await group.simulation.runFor(SETTLE_MS);
-    expect(await read(group, 1)).toEqual(['nayoro']);
-    expect(await read(group, 0)).toEqual(['nayoro']);
+    expect(await readEvacuatedZones(group, 1)).toEqual(['nayoro']);
+    expect(await readEvacuatedZones(group, 0)).toEqual(['nayoro']);
   });
 
   it('outlive the loss of two disks of five', async () => {
     const group = await AutomaticGroup.start(5);
-    expect(await give(group, 'PUT', 'nayoro', 3)).toBe(200);
+    expect(await submitOrder(group, 'PUT', 'nayoro', 3)).toBe(200);
     await group.restart(group.machineAt(0), false);
     await group.restart(group.machineAt(1), false);
     await group.simulation.runFor(2 * SETTLE_MS);
-    expect(await read(group, 0)).toEqual(['nayoro']);
+    expect(await readEvacuatedZones(group, 0)).toEqual(['nayoro']);
   });
 
   it('are not acknowledged by a controller that is cut off from the others', async () => {
     const group = await AutomaticGroup.start(3);
     for (const machine of group.machines.slice(1)) machine.crash({ power: true });
     await group.simulation.runFor(SETTLE_MS);
-    expect(await give(group, 'PUT', 'nayoro')).toBeGreaterThanOrEqual(500);
+    expect(await submitOrder(group, 'PUT', 'nayoro')).toBeGreaterThanOrEqual(500);
   });
 });
--- a/test/control/in-force.test.ts
+++ b/test/control/in-force.test.ts
@@ -39,7 +39,7 @@
 };
 
 /** What a daemon puts in force whose controller is cut off in silence. */
-const silentController: Scenario = async (faults) => {
+const isolatedController: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const daemon = group.startDaemon('router-1', 'nayoro');
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
@@ -52,20 +52,20 @@
 };
 
 /** How many of nine daemons follow a controller of another zone. */
-const strangers: Scenario = async (faults) => {
+const daemonsFollowingOtherZones: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const daemons = Array.from({ length: 9 }, (_, index) =>
     group.startDaemon(`router-${index}`, ZONES[index % ZONES.length] as string),
   );
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-  const own = daemons.filter(({ host, client }) =>
+  const inOwnZone = daemons.filter(({ host, client }) =>
     group.hosts.some(({ name, zone }) => name === client.source && zone === host.zone),
   );
-  return daemons.length - own.length;
+  return daemons.length - inOwnZone.length;
 };
 
 /** Late daemons that each controller left names, long after one fell silent and the leader died. */
-const lateDaemons: Scenario = async (faults) => {
+const lateDaemonsAfterLeaderCrash: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const daemons = ZONES.map((zone, index) => group.startDaemon(`router-${index + 1}`, zone));
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
@@ -73,11 +73,11 @@
   const leader = await group.leaderIndex();
   group.hostAt(leader).crash({ power: true });
   await group.simulation.runFor(DAEMON_LEASE_MS + ELECTION_MS);
-  const left = [...ZONES.keys()].filter((index) => index !== leader);
-  await group.accept(left[0] as number, 1);
+  const remaining = [...ZONES.keys()].filter((index) => index !== leader);
+  await group.accept(remaining[0] as number, 1);
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
   const reports = [];
-  for (const index of left) {
+  for (const index of remaining) {
     const { force } = await group.changeReport(index, 1);
     const late = force?.late.map(({ name, revision, zone }) => ({ name, revision, zone }));
     reports.push({ inForce: force?.inForce, daemons: force?.daemons, late });
@@ -86,30 +86,30 @@
 };
 
 /** Signs that a daemon gets of a replica when another router tells of its earlier incarnation. */
-const signsOfTwoIncarnations: Scenario = async (faults) => {
+const reportsOfTwoIncarnations: Scenario = async (faults) => {
   const group = await ControllerGroup.start(faults);
   const [first, second, third] = [1, 2, 3].map((number) =>
     group.startDaemon(`router-${number}`, 'nayoro'),
   );
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-  const sign = { replicaId: 'replica-1', observedBy: 'router' };
-  first?.client.reportReplicaState({ ...sign, incarnation: 2, state: 'draining' });
+  const report = { replicaId: 'replica-1', observedBy: 'router' };
+  first?.client.reportReplicaState({ ...report, incarnation: 2, state: 'draining' });
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-  second?.client.reportReplicaState({ ...sign, incarnation: 1, state: 'gone' });
-  second?.client.reportReplicaState({ ...sign, incarnation: 2, state: 'live' });
+  second?.client.reportReplicaState({ ...report, incarnation: 1, state: 'gone' });
+  second?.client.reportReplicaState({ ...report, incarnation: 2, state: 'live' });
   await group.simulation.runFor(IN_FORCE_WITHIN_MS);
-  return third?.signs.map(({ incarnation, state }) => `${incarnation} ${state}`);
+  return third?.livenessReports.map(({ incarnation, state }) => `${incarnation} ${state}`);
 };
 
 const ROUTER_3 = { name: 'router-3', revision: 0, zone: 'wakkanai' };
-const WHOLE = { inForce: 2, daemons: 3, late: [ROUTER_3] };
-const FORGETFUL = { inForce: 2, daemons: 2, late: [] };
+const COMPLETE_REPORT = { inForce: 2, daemons: 3, late: [ROUTER_3] };
+const REPORT_WITHOUT_SILENT_DAEMON = { inForce: 2, daemons: 2, late: [] };
 
 /** Name, what is seen of the build as it is, and what of a build with a defect. */
-type Case = [string, Scenario, unknown, ControlStreamFaults, unknown];
+type DefectCase = [string, Scenario, unknown, ControlStreamFaults, unknown];
 
 describe('an accepted change', () => {
-  const cases: Case[] = [
+  const cases: DefectCase[] = [
     [
       'is in force at daemons whose controller cannot write',
       hangingDisk,
@@ -126,18 +126,24 @@
     ],
     [
       'is in force at daemons whose controller is cut off',
-      silentController,
+      isolatedController,
       [0, 1],
       { neverLeave: true },
       [0],
     ],
-    ['comes from a controller of the own zone', strangers, 0, { ignoreZone: true }, 3],
+    [
+      'comes from a controller of the own zone',
+      daemonsFollowingOtherZones,
+      0,
+      { ignoreZone: true },
+      3,
+    ],
     [
       'is told by every controller to be late at a daemon that is silent',
-      lateDaemons,
-      [WHOLE, WHOLE],
+      lateDaemonsAfterLeaderCrash,
+      [COMPLETE_REPORT, COMPLETE_REPORT],
       { forgetSilentDaemons: true },
-      [FORGETFUL, FORGETFUL],
+      [REPORT_WITHOUT_SILENT_DAEMON, REPORT_WITHOUT_SILENT_DAEMON],
     ],
   ];
   it.each(cases)('%s', async (_name, scenario, expected, faults, found) => {
@@ -146,14 +152,17 @@
   });
 
   it('is known where it is in force at controllers that daemons do not follow', async () => {
-    expect(await lateDaemons({ withholdReports: true })).not.toEqual([WHOLE, WHOLE]);
+    expect(await lateDaemonsAfterLeaderCrash({ withholdReports: true })).not.toEqual([
+      COMPLETE_REPORT,
+      COMPLETE_REPORT,
+    ]);
   });
 });
 
 describe('a sign of a replica', () => {
   it('never overrides a newer one', async () => {
-    expect(await signsOfTwoIncarnations({})).toEqual(['2 draining']);
-    const found = await signsOfTwoIncarnations({ acceptOlderSigns: true });
+    expect(await reportsOfTwoIncarnations({})).toEqual(['2 draining']);
+    const found = await reportsOfTwoIncarnations({ acceptOlderSigns: true });
     expect(found).toContain('1 gone');
   });
 });
--- a/test/control/membership-keeper.test.ts
+++ b/test/control/membership-maintenance.test.ts
@@ -5,11 +5,11 @@
   ReplicatedLogStatus,
 } from '../../src/consensus/replicated-log.js';
 import {
-  LEARNER_SILENCE_MS,
-  SilenceWatch,
-  VOTER_SILENCE_MS,
-  intendedVoters,
-} from '../../src/control/membership-keeper.js';
+  LEARNER_SILENCE_TIMEOUT_MS,
+  SilenceTracker,
+  VOTER_SILENCE_TIMEOUT_MS,
+  intendedVoterCount,
+} from '../../src/control/membership-maintenance.js';
 
 const LEADER = 'm-10-0-0-1-7000';
 
@@ -38,22 +38,22 @@
   const { clock } = simulation.createMachine('leader', 'a').environment;
 
   it('gives a learner that was never heard its time, however long the leader has led', async () => {
-    const watch = new SilenceWatch(clock);
+    const watch = new SilenceTracker(clock);
     const before = statusOf([member('m-b', 0), member('m-c', 0)]);
     expect(watch.memberToRemove(before)).toBeUndefined();
-    await simulation.runFor(LEARNER_SILENCE_MS * 3);
+    await simulation.runFor(LEARNER_SILENCE_TIMEOUT_MS * 3);
     const joined = statusOf([
       member('m-b', 0),
       member('m-c', 0),
       member('m-d-x1', Infinity, false),
     ]);
     expect(watch.memberToRemove(joined)).toBeUndefined();
-    await simulation.runFor(LEARNER_SILENCE_MS + 1_000);
+    await simulation.runFor(LEARNER_SILENCE_TIMEOUT_MS + 1_000);
     expect(watch.memberToRemove(joined)?.memberId).toBe('m-d-x1');
   });
 
   it('removes a silent voter only when a successor has its vote', async () => {
-    const watch = new SilenceWatch(clock);
+    const watch = new SilenceTracker(clock);
     const alone = statusOf([member('m-b', 0), member('m-c', 60_000)]);
     watch.memberToRemove(alone);
     await simulation.runFor(60_000);
@@ -63,10 +63,10 @@
   });
 
   it('leaves a voter alone that was heard a moment ago', async () => {
-    const watch = new SilenceWatch(clock);
+    const watch = new SilenceTracker(clock);
     const status = statusOf([
       member('m-b', 0),
-      member('m-c', VOTER_SILENCE_MS / 2),
+      member('m-c', VOTER_SILENCE_TIMEOUT_MS / 2),
       member('m-d-x1', 0),
     ]);
     watch.memberToRemove(status);
@@ -75,6 +75,6 @@
   });
 
   it('counts the founders, also those that were removed, as the intended size', () => {
-    expect(intendedVoters(statusOf([member('m-b', 0), member('m-d-x1', 0)], ['m-c']))).toBe(3);
+    expect(intendedVoterCount(statusOf([member('m-b', 0), member('m-d-x1', 0)], ['m-c']))).toBe(3);
   });
 });
--- a/test/control/platform-list-poller.test.ts
+++ b/test/control/platform-list-poller.test.ts
@@ -29,24 +29,31 @@
     { replicaId: 'i-5', incarnation: 3, state: 'gone' },
   ];
   const { network } = platform.environment;
-  const answer = { status: 200, body: JSON.stringify(items) };
+  const response = { status: 200, body: JSON.stringify(items) };
   await simulation.settle(
     network.listenHttp({ host: platform.host, port: PORT }, LISTEN_OPTIONS, () =>
-      Promise.resolve(answer),
+      Promise.resolve(response),
     ),
   );
   const telemetry = { logger: SILENT_LOGGER, registry: new Registry() };
-  const signs = new LivenessReportTable(NO_CONTROL_STREAM_FAULTS);
+  const livenessReports = new LivenessReportTable(NO_CONTROL_STREAM_FAULTS);
   const unusable = new UnusableEntries({ clock: environment.clock, ...telemetry });
   const address = { host: platform.host, port: PORT };
-  let news = 0;
-  const onSigns = (): void => {
-    news += 1;
+  let notifications = 0;
+  const onNewReports = (): void => {
+    notifications += 1;
   };
-  const poller = new PlatformListPoller(environment, address, signs, onSigns, unusable, telemetry);
+  const poller = new PlatformListPoller(
+    environment,
+    address,
+    livenessReports,
+    onNewReports,
+    unusable,
+    telemetry,
+  );
   await simulation.runFor(500);
-  expect(news).toBe(1);
-  expect(signs.position).toBe(2);
+  expect(notifications).toBe(1);
+  expect(livenessReports.position).toBe(2);
   const counted = await telemetry.registry
     .getSingleMetric('driftway_unusable_entries_total')
     ?.get();
--- a/test/control/other-writers.test.ts
+++ b/test/control/read-heartbeat.test.ts
@@ -8,7 +8,7 @@
 import { AutomaticGroup } from './automatic-group.js';
 
 const FUZZ_SEED = 11;
-const GOOD = {
+const VALID_HEARTBEAT = {
   service: 'ledger',
   address: '10.0.0.9:80',
   zone: 'nayoro',
@@ -30,13 +30,16 @@
 
 describe('a heartbeat of another writer', () => {
   it('is taken whole, whatever else it says', () => {
-    const reading = readHeartbeat('i-1', bytesOf({ ...GOOD, mood: { deep: [1, { a: 2 }] } }));
-    const { warmupRemainingMs: warmupMs, born: bornAt, ...told } = GOOD;
-    expect(reading).toEqual({ entry: { ...told, replicaId: 'i-1', warmupMs, bornAt } });
+    const reading = readHeartbeat(
+      'i-1',
+      bytesOf({ ...VALID_HEARTBEAT, mood: { deep: [1, { a: 2 }] } }),
+    );
+    const { warmupRemainingMs: warmupMs, born: bornAt, ...fields } = VALID_HEARTBEAT;
+    expect(reading).toEqual({ entry: { ...fields, replicaId: 'i-1', warmupMs, bornAt } });
   });
 
   it('names the field that cannot be used', () => {
-    expect(problemOf({ ...GOOD, state: 'asleep' })).toEqual({
+    expect(problemOf({ ...VALID_HEARTBEAT, state: 'asleep' })).toEqual({
       reason: UnusableReason.UnknownState,
       field: 'state',
     });
@@ -55,7 +58,10 @@
     ];
     for (const change of cases) {
       const field = Object.keys(change)[0];
-      expect(problemOf({ ...GOOD, ...change })).toEqual({ reason: UnusableReason.BadField, field });
+      expect(problemOf({ ...VALID_HEARTBEAT, ...change })).toEqual({
+        reason: UnusableReason.BadField,
+        field,
+      });
     }
   });
 
@@ -64,8 +70,8 @@
       fc.uint8Array({ maxLength: 200 }),
       fc.json({ maxDepth: 12 }).map((text) => Buffer.from(text)),
       fc
-        .tuple(fc.constantFrom(...Object.keys(GOOD)), fc.jsonValue())
-        .map(([field, value]) => bytesOf({ ...GOOD, [field]: value })),
+        .tuple(fc.constantFrom(...Object.keys(VALID_HEARTBEAT)), fc.jsonValue())
+        .map(([field, value]) => bytesOf({ ...VALID_HEARTBEAT, [field]: value })),
     );
     fc.assert(
       fc.property(fc.string({ maxLength: 300 }), bytes, (replicaId, body) => {
@@ -82,12 +88,18 @@
     const group = await AutomaticGroup.start(1);
     const machine = group.machineAt(0);
     const put = (path: string, body: string) => group.call(machine, 'PUT', path, body);
-    expect((await put('/v1/replicas/i-1', JSON.stringify(GOOD))).status).toBe(200);
-    const bad = ['', '[]', '{"state":"gone"}', JSON.stringify({ ...GOOD, state: 7 }), '{"a":'];
+    expect((await put('/v1/replicas/i-1', JSON.stringify(VALID_HEARTBEAT))).status).toBe(200);
+    const bad = [
+      '',
+      '[]',
+      '{"state":"gone"}',
+      JSON.stringify({ ...VALID_HEARTBEAT, state: 7 }),
+      '{"a":',
+    ];
     for (const body of bad) expect((await put('/v1/replicas/i-1', body)).status).toBe(400);
-    expect((await put('/v1/replicas/%E0%A4%A', JSON.stringify(GOOD))).status).toBe(400);
-    expect((await put('/v1/replicas/', JSON.stringify(GOOD))).status).toBe(400);
-    expect((await put('/v1/replicas/i-2', JSON.stringify(GOOD))).status).toBe(200);
+    expect((await put('/v1/replicas/%E0%A4%A', JSON.stringify(VALID_HEARTBEAT))).status).toBe(400);
+    expect((await put('/v1/replicas/', JSON.stringify(VALID_HEARTBEAT))).status).toBe(400);
+    expect((await put('/v1/replicas/i-2', JSON.stringify(VALID_HEARTBEAT))).status).toBe(200);
     expect((await group.call(machine, 'DELETE', '/v1/replicas/%E0%A4%A')).status).toBe(400);
   });
 });
@@ -95,7 +107,7 @@
 describe('endless ids', () => {
   it('fill a bounded number of entries, and leave those that are known as they are', () => {
     const { clock } = new Simulation(1).createMachine('controller', 'a').environment;
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats, 3);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats, 3);
     const entry = {
       replicaId: 'i-0',
       service: 'ledger',
@@ -107,12 +119,12 @@
       warmupMs: 0,
     };
     for (let index = 0; index < 10; index += 1) {
-      directory.hear({ ...entry, replicaId: `i-${index}` });
+      directory.reportDirectly({ ...entry, replicaId: `i-${index}` });
     }
     expect([...directory.all()].map(({ replicaId }) => replicaId)).toEqual(['i-0', 'i-1', 'i-2']);
     const draining = { ...entry, sequence: 2, state: RegisteredState.Draining };
-    expect(directory.hear(draining)).toEqual({ isCurrent: true, isNews: true });
-    expect(directory.hear({ ...entry, replicaId: 'i-9' })).toEqual({
+    expect(directory.reportDirectly(draining)).toEqual({ isCurrent: true, isNews: true });
+    expect(directory.reportDirectly({ ...entry, replicaId: 'i-9' })).toEqual({
       isCurrent: false,
       isNews: false,
     });
--- a/test/control/replace-controller.test.ts
+++ b/test/control/replace-controller.test.ts
@@ -28,13 +28,17 @@
 }
 
 /** The steps of docs/operators/replace-controller.md. */
-async function replace(client: OperatorClient, lostId: string, at: string): Promise<MemberList> {
+async function replaceController(
+  client: OperatorClient,
+  lostId: string,
+  at: string,
+): Promise<MemberList> {
   await changeMembers(client, { action: 'addLearner', memberId: ADDED, address: at });
   await changeMembers(client, { action: 'promote', memberId: ADDED });
   return changeMembers(client, { action: 'remove', memberId: lostId });
 }
 
-class Group {
+class ManualGroup {
   readonly simulation = new Simulation(9);
   private readonly machines = new Map<string, SimulatedMachine>();
 
@@ -48,7 +52,7 @@
     return this.machines.get(id) ?? expect.fail(id);
   }
 
-  messages(id: string): string {
+  messageAddress(id: string): string {
     return `${this.machine(id).host}:${MESSAGE_PORT}`;
   }
 
@@ -60,11 +64,11 @@
       zone,
       cluster: { id: 'dohoku', key: 'a-long-random-secret' },
       dataFolder: 'unused',
-      listen: { http: `${host}:${HTTP_PORT}`, messages: this.messages(id) },
+      listen: { http: `${host}:${HTTP_PORT}`, messages: this.messageAddress(id) },
       initialMembers: INITIAL.map((memberId) => ({
         memberId,
         zone: `zone-of-${memberId}`,
-        address: this.messages(memberId),
+        address: this.messageAddress(memberId),
       })),
       join,
       administration: { bootstrapTokenHash: hashToken(TOKEN) },
@@ -101,7 +105,7 @@
 
 describe('replacement of a controller whose disk is lost', () => {
   it.each(INITIAL)('carries a second failure right after it (%s)', async (lostId) => {
-    const group = new Group();
+    const group = new ManualGroup();
     for (const id of INITIAL) await group.start(id);
     await group.simulation.runFor(ELECTION_MS);
     const rest = INITIAL.filter((id) => id !== lostId);
@@ -113,12 +117,12 @@
     const cause = await group.simulation.settle(wiped.failure);
     expect(cause.message).toContain('docs/operators/replace-controller.md');
     await group.start(ADDED, true);
-    const address = group.messages(ADDED);
-    const { members } = await group.simulation.settle(replace(client, lostId, address));
+    const address = group.messageAddress(ADDED);
+    const { members } = await group.simulation.settle(replaceController(client, lostId, address));
     const voters = members.filter(({ voter }) => voter).map(({ memberId }) => memberId);
     expect(voters.toSorted()).toEqual([...rest, ADDED].toSorted());
     // Sent again, as after a lost answer, it changes nothing.
-    await group.simulation.settle(replace(client, lostId, address));
+    await group.simulation.settle(replaceController(client, lostId, address));
     await group.accept(client, 2);
     const [second = '', survivor = ''] = rest;
     group.machine(second).crash({ power: true });
@@ -132,7 +136,7 @@
   });
 
   it('refuses what is wrong at once, also when a follower is asked', async () => {
-    const group = new Group();
+    const group = new ManualGroup();
     for (const id of INITIAL) await group.start(id);
     await group.simulation.runFor(ELECTION_MS);
     for (const id of INITIAL) {
--- a/test/control/resends.test.ts
+++ b/test/control/resends.test.ts
@@ -6,8 +6,8 @@
 import { change, setting } from '../settings/fixtures.js';
 import { ControllerGroup, ELECTION_MS, HTTP_PORT, TOKEN, ZONES } from './controller-group.js';
 
-const PATIENCE_MS = 60_000;
-const ATTEMPT_MS = 2_000;
+const TOTAL_TIMEOUT_MS = 60_000;
+const ATTEMPT_TIMEOUT_MS = 2_000;
 /** By then a request is at its controller, and its answer not on the way. */
 const REQUEST_RECEIVED_MS = 4;
 
@@ -16,13 +16,13 @@
   group: ControllerGroup,
   order: readonly number[],
   body: ChangeRequest,
-  totalTimeoutMs = PATIENCE_MS,
+  totalTimeoutMs = TOTAL_TIMEOUT_MS,
 ): Promise<ChangeResult> {
   const { network, clock } = group.operator.environment;
   const client = new OperatorClient(network, clock, {
     controllers: order.map((index) => ({ host: group.hostAt(index).host, port: HTTP_PORT })),
     token: TOKEN,
-    attemptTimeoutMs: ATTEMPT_MS,
+    attemptTimeoutMs: ATTEMPT_TIMEOUT_MS,
     totalTimeoutMs,
   });
   return client.post<ChangeResult>('/v1/changes', body);
@@ -43,7 +43,7 @@
 }
 
 /** What a promise was rejected with. */
-function failureOf(promise: Promise<unknown>): Promise<unknown> {
+function rejectionOf(promise: Promise<unknown>): Promise<unknown> {
   return promise.then(
     () => undefined,
     (error: unknown) => error,
@@ -57,7 +57,7 @@
     const leader = await group.leaderIndex();
     const other = (leader + 1) % ZONES.length;
     const body = request('lost', 0, 5);
-    const lost = failureOf(send(group, [leader], body, ATTEMPT_MS));
+    const lost = rejectionOf(send(group, [leader], body, ATTEMPT_TIMEOUT_MS));
     await simulation.runFor(REQUEST_RECEIVED_MS);
     simulation.cut({ from: { machine: group.hostAt(leader).name }, to: { machine: 'operator' } });
     const error = await simulation.settle(lost);
@@ -79,7 +79,7 @@
 
   it.each([0, 2, 4, 6, 8, 10, 12, 20])(
     'wins or loses a race once and for all when the leader is killed after %i ms',
-    async (moment) => {
+    async (killAfterMs) => {
       const group = await ControllerGroup.start();
       const { simulation } = group;
       const leader = await group.leaderIndex();
@@ -89,7 +89,7 @@
           send(group, startingAt(leader + index), body).catch((error: unknown) => error),
         ),
       );
-      await simulation.runFor(moment);
+      await simulation.runFor(killAfterMs);
       await restart(group, leader);
       const results = await simulation.settle(race);
       const winner = results.findIndex((result) => !(result instanceof OperatorError));
--- a/test/directory/controller-roster.test.ts
+++ b/test/directory/controller-roster.test.ts
@@ -14,7 +14,7 @@
   });
 
   constructor() {
-    for (const name of this.connected) this.roster.noteConnected(name, zoneOf(name));
+    for (const name of this.connected) this.roster.recordConnected(name, zoneOf(name));
   }
 }
 
@@ -29,15 +29,15 @@
 describe('ControllerRoster', () => {
   it('is first for gateways of its own zone, not for those of others that are connected', () => {
     const { roster } = new Group();
-    expect(roster.isFirstFor(gatewayIn('z1'))).toBe(true);
-    expect(roster.isFirstFor(gatewayIn('z2'))).toBe(false);
+    expect(roster.isPreferredFor(gatewayIn('z1'))).toBe(true);
+    expect(roster.isPreferredFor(gatewayIn('z2'))).toBe(false);
   });
 
   it('is first for some gateways of a zone whose controller is lost, and knows who owed them', () => {
     const group = new Group();
     group.connected = ['c3'];
     const names = Array.from({ length: 40 }, (_name, index) => `gateway-${index}`);
-    const first = names.filter((name) => group.roster.isFirstFor(gatewayIn('z2', name)));
+    const first = names.filter((name) => group.roster.isPreferredFor(gatewayIn('z2', name)));
     expect(first.length).toBeGreaterThan(5);
     expect(first.length).toBeLessThan(35);
     expect(group.roster.responsibleFor('z2')).toEqual(['c2']);
@@ -46,7 +46,7 @@
   it('stands in where a zone has no controller', () => {
     const group = new Group();
     group.connected = [];
-    expect(group.roster.isFirstFor(gatewayIn('z9'))).toBe(true);
+    expect(group.roster.isPreferredFor(gatewayIn('z9'))).toBe(true);
     expect(group.roster.responsibleFor('z9')).toEqual(['c1']);
   });
 
@@ -54,7 +54,7 @@
     const group = new Group();
     group.members = ['c1', 'c3'];
     group.connected = ['c3'];
-    group.roster.noteConnected('c3', 'z3');
+    group.roster.recordConnected('c3', 'z3');
     group.members = ['c1', 'c2', 'c3'];
     expect(group.roster.all().map(({ zone }) => zone)).toEqual(['z1', '', 'z3']);
   });
--- a/test/directory/directory-session.test.ts
+++ b/test/directory/directory-session.test.ts
@@ -6,8 +6,8 @@
   type DirectorySessionSources,
 } from '../../src/directory/directory-session.js';
 import {
-  FAR_DOCUMENT_DELAY_MS,
-  FAR_DOCUMENT_INTERVAL_MS,
+  FALLBACK_DOCUMENT_DELAY_MS,
+  CROSS_ZONE_DOCUMENT_INTERVAL_MS,
 } from '../../src/directory/directory-timing.js';
 import { DirectoryKind, ReplicaDirectory } from '../../src/directory/replica-directory.js';
 import { QuarantineRegister } from '../../src/quarantine/quarantine-register.js';
@@ -21,7 +21,7 @@
   /** Version of the document at the controller. */
   version: number;
   /** Whether the gateway follows this controller before others. */
-  isFirst: boolean;
+  isPreferred: boolean;
 }
 
 function createParts(subscriberZone: string, kind = SubscriberKind.Gateway): Parts {
@@ -32,10 +32,10 @@
   const parts = { simulation, history, version: 1, isFirst: false };
   const sources: DirectorySessionSources = {
     clock,
-    directory: new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats),
+    directory: new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats),
     document: () => ({ version: parts.version, content: new Uint8Array(0) }),
     routeHistory: history,
-    isFirstFor: () => parts.isFirst,
+    isPreferredFor: () => parts.isFirst,
     evacuations: () => [],
     quarantine: new QuarantineRegister(),
     controllers: () => [],
@@ -49,97 +49,97 @@
 }
 
 /** The controller accepts the next version now. */
-function accept(parts: Parts): void {
+function acceptNextVersion(parts: Parts): void {
   parts.version += 1;
   parts.history.record(parts.version, parts.sources.clock.now());
 }
 
-function toldVersions({ session, sources }: Parts): number[] {
-  const news = session.takeNews(sources);
-  return news.flatMap((message) => (message.kind === 'document' ? [message.version] : []));
+function takeSentVersions({ session, sources }: Parts): number[] {
+  const updates = session.takeUpdates(sources);
+  return updates.flatMap((message) => (message.kind === 'document' ? [message.version] : []));
 }
 
 describe('a route document', () => {
   it('is sent at once to a gateway of the zone', () => {
     const parts = createParts('a');
     parts.session.confirmedDocumentVersion = 1;
-    accept(parts);
-    expect(toldVersions(parts)).toEqual([2]);
-    expect(toldVersions(parts)).toEqual([]);
+    acceptNextVersion(parts);
+    expect(takeSentVersions(parts)).toEqual([2]);
+    expect(takeSentVersions(parts)).toEqual([]);
   });
 
   it('is sent at once to a gateway of another zone that has none', () => {
-    expect(toldVersions(createParts('b'))).toEqual([1]);
+    expect(takeSentVersions(createParts('b'))).toEqual([1]);
   });
 
   it('is not sent to a gateway of another zone that gets it elsewhere', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
-    accept(parts);
-    expect(toldVersions(parts)).toEqual([]);
+    acceptNextVersion(parts);
+    expect(takeSentVersions(parts)).toEqual([]);
     parts.session.confirmedDocumentVersion = 2;
-    await parts.simulation.runFor(FAR_DOCUMENT_DELAY_MS + 1);
-    expect(toldVersions(parts)).toEqual([]);
+    await parts.simulation.runFor(FALLBACK_DOCUMENT_DELAY_MS + 1);
+    expect(takeSentVersions(parts)).toEqual([]);
   });
 
   it('is sent to a gateway of another zone that does not get it elsewhere', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
-    accept(parts);
-    expect(toldVersions(parts)).toEqual([]);
-    await parts.simulation.runFor(FAR_DOCUMENT_DELAY_MS + 1);
-    expect(toldVersions(parts)).toEqual([2]);
+    acceptNextVersion(parts);
+    expect(takeSentVersions(parts)).toEqual([]);
+    await parts.simulation.runFor(FALLBACK_DOCUMENT_DELAY_MS + 1);
+    expect(takeSentVersions(parts)).toEqual([2]);
   });
 
   it('is sent to a gateway of another zone in time also while newer ones follow', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
-    const pause = FAR_DOCUMENT_DELAY_MS / 20;
-    for (let waited = 0; waited < FAR_DOCUMENT_DELAY_MS; waited += pause) {
-      accept(parts);
-      expect(toldVersions(parts)).toEqual([]);
+    const pause = FALLBACK_DOCUMENT_DELAY_MS / 20;
+    for (let waited = 0; waited < FALLBACK_DOCUMENT_DELAY_MS; waited += pause) {
+      acceptNextVersion(parts);
+      expect(takeSentVersions(parts)).toEqual([]);
       await parts.simulation.runFor(pause);
     }
-    expect(toldVersions(parts)).toEqual([parts.version]);
+    expect(takeSentVersions(parts)).toEqual([parts.version]);
   });
 
   it('is left to the controller of the zone that delivers each a little later', async () => {
     const parts = createParts('b');
     for (let count = 0; count < 200; count += 1) {
       parts.session.confirmedDocumentVersion = parts.version;
-      accept(parts);
-      expect(toldVersions(parts)).toEqual([]);
-      await parts.simulation.runFor(FAR_DOCUMENT_DELAY_MS / 4);
+      acceptNextVersion(parts);
+      expect(takeSentVersions(parts)).toEqual([]);
+      await parts.simulation.runFor(FALLBACK_DOCUMENT_DELAY_MS / 4);
     }
   });
 
   it('is not sent to controllers, which have it from the replicated log', async () => {
     const parts = createParts('a', SubscriberKind.Controller);
-    accept(parts);
-    await parts.simulation.runFor(FAR_DOCUMENT_DELAY_MS + 1);
-    expect(toldVersions(parts)).toEqual([]);
+    acceptNextVersion(parts);
+    await parts.simulation.runFor(FALLBACK_DOCUMENT_DELAY_MS + 1);
+    expect(takeSentVersions(parts)).toEqual([]);
     expect(parts.session.documentDueInMs(parts.sources)).toBe(Infinity);
   });
 
   it('is sent at once to a gateway of another zone that follows no other first', async () => {
     const parts = createParts('b');
-    expect(toldVersions(parts)).toEqual([1]);
+    expect(takeSentVersions(parts)).toEqual([1]);
     parts.session.confirmedDocumentVersion = 1;
-    parts.isFirst = true;
-    await parts.simulation.runFor(FAR_DOCUMENT_INTERVAL_MS);
-    accept(parts);
-    expect(toldVersions(parts)).toEqual([2]);
+    parts.isPreferred = true;
+    await parts.simulation.runFor(CROSS_ZONE_DOCUMENT_INTERVAL_MS);
+    acceptNextVersion(parts);
+    expect(takeSentVersions(parts)).toEqual([2]);
   });
 
   it('is sent over zones a few times a second at most, always the newest', async () => {
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
-    parts.isFirst = true;
+    parts.isPreferred = true;
     const told: number[] = [];
-    const pause = FAR_DOCUMENT_INTERVAL_MS / 25;
+    const pause = CROSS_ZONE_DOCUMENT_INTERVAL_MS / 25;
     for (let count = 0; count < 100; count += 1) {
-      accept(parts);
-      told.push(...toldVersions(parts));
+      acceptNextVersion(parts);
+      told.push(...takeSentVersions(parts));
       await parts.simulation.runFor(pause);
     }
     expect(told).toEqual([2, 27, 52, 77]);
@@ -149,10 +149,10 @@
     const parts = createParts('b');
     parts.session.confirmedDocumentVersion = 1;
     expect(parts.session.documentDueInMs(parts.sources)).toBe(Infinity);
-    accept(parts);
-    expect(parts.session.documentDueInMs(parts.sources)).toBe(FAR_DOCUMENT_DELAY_MS);
+    acceptNextVersion(parts);
+    expect(parts.session.documentDueInMs(parts.sources)).toBe(FALLBACK_DOCUMENT_DELAY_MS);
     await parts.simulation.runFor(300);
-    accept(parts);
-    expect(parts.session.documentDueInMs(parts.sources)).toBe(FAR_DOCUMENT_DELAY_MS - 300);
+    acceptNextVersion(parts);
+    expect(parts.session.documentDueInMs(parts.sources)).toBe(FALLBACK_DOCUMENT_DELAY_MS - 300);
   });
 });
--- a/test/directory/replica-directory.test.ts
+++ b/test/directory/replica-directory.test.ts
@@ -4,7 +4,7 @@
 import {
   DirectoryKind,
   FORGET_AFTER_MS,
-  LIFE_SILENT_MS,
+  INCARNATION_SILENCE_MS,
   ReplicaDirectory,
 } from '../../src/directory/replica-directory.js';
 import { RegisteredState, type ReplicaEntry } from '../../src/directory/replica-entry.js';
@@ -28,7 +28,7 @@
 
 describe('ReplicaDirectory', () => {
   it('never lets a late heartbeat bring back a replica that has left', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.report(entry({ sequence: 4 }));
     directory.leave('i-1');
     directory.report(entry({ sequence: 9 }));
@@ -36,7 +36,7 @@
   });
 
   it('knows that a replica left also when it never registered here', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.leave('i-1');
     directory.report(entry());
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
@@ -52,7 +52,7 @@
       { minLength: 1, maxLength: 8 },
     );
     const stateAfter = (list: readonly Partial<ReplicaEntry>[]): string | undefined => {
-      const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+      const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
       for (const report of list) directory.report(entry(report));
       const known = directory.find('i-1');
       return `${known?.state} ${known?.sequence} ${known?.bornAt}`;
@@ -66,7 +66,7 @@
   });
 
   it('tells readers of changes, not of each heartbeat', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.report(entry());
     const { position } = directory;
     expect(directory.report(entry({ sequence: 2 }))).toBe(false);
@@ -76,11 +76,11 @@
   });
 
   it('forgets what was not heard of for long', async () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.report(entry());
     directory.report(entry({ replicaId: 'i-2' }));
     await simulation.runFor(FORGET_AFTER_MS - 1_000);
-    directory.noteHeard('i-2');
+    directory.recordHeartbeat('i-2');
     await simulation.runFor(2_000);
     directory.forgetSilent();
     expect([...directory.all()].map(({ replicaId }) => replicaId)).toEqual(['i-2']);
@@ -92,15 +92,15 @@
   const SECOND = { bornAt: 2_000, sequence: 1, address: '10.0.0.2:80' };
 
   function directoryWith(first: Partial<ReplicaEntry>): ReplicaDirectory {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
-    directory.hear(entry(first));
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
+    directory.reportDirectly(entry(first));
     return directory;
   }
 
   it('is known as its later life whatever the earlier one had said', () => {
     for (const state of Object.values(RegisteredState)) {
       const directory = directoryWith({ ...FIRST, state });
-      expect(directory.hear(entry(SECOND))).toEqual({ isCurrent: true, isNews: true });
+      expect(directory.reportDirectly(entry(SECOND))).toEqual({ isCurrent: true, isNews: true });
       expect(directory.find('i-1')).toEqual(entry(SECOND));
     }
   });
@@ -108,31 +108,31 @@
   it('comes back after it was said to have left', () => {
     const directory = directoryWith(FIRST);
     directory.leave('i-1');
-    directory.hear(entry({ ...FIRST, sequence: 905 }));
+    directory.reportDirectly(entry({ ...FIRST, sequence: 905 }));
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
-    directory.hear(entry(SECOND));
+    directory.reportDirectly(entry(SECOND));
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Ready);
   });
 
   it('is not changed by a late word of its earlier life, nor kept by it', async () => {
     const directory = directoryWith(SECOND);
-    const heardAt = directory.lastHeard('i-1');
+    const heardAt = directory.lastHeardAt('i-1');
     await simulation.runFor(1_000);
     const late = entry({ ...FIRST, state: RegisteredState.Draining });
-    expect(directory.hear(late)).toEqual({ isCurrent: false, isNews: false });
+    expect(directory.reportDirectly(late)).toEqual({ isCurrent: false, isNews: false });
     expect(directory.report(late)).toBe(false);
     expect(directory.find('i-1')).toEqual(entry(SECOND));
-    expect(directory.lastHeard('i-1')).toBe(heardAt);
+    expect(directory.lastHeardAt('i-1')).toBe(heardAt);
   });
 
   it('is not shut out for good when its clock was set back between its lives', async () => {
     const directory = directoryWith(SECOND);
     const setBack = entry({ bornAt: 1_500, sequence: 1 });
-    expect(directory.hear(setBack).isCurrent).toBe(false);
-    await simulation.runFor(LIFE_SILENT_MS + 1);
-    expect(directory.hear(setBack)).toEqual({ isCurrent: true, isNews: true });
+    expect(directory.reportDirectly(setBack).isCurrent).toBe(false);
+    await simulation.runFor(INCARNATION_SILENCE_MS + 1);
+    expect(directory.reportDirectly(setBack)).toEqual({ isCurrent: true, isNews: true });
     expect(directory.find('i-1')).toEqual({ ...setBack, generation: 1 });
-    directory.hear(entry({ bornAt: 1_500, sequence: 2 }));
+    directory.reportDirectly(entry({ bornAt: 1_500, sequence: 2 }));
     expect(directory.find('i-1')).toMatchObject({ ...setBack, sequence: 2, generation: 1 });
     directory.report(entry(SECOND));
     expect(directory.find('i-1')?.bornAt).toBe(1_500);
@@ -140,41 +140,41 @@
 
   it('is heard again at once where a late word was taken for a later life', async () => {
     const directory = directoryWith(SECOND);
-    await simulation.runFor(LIFE_SILENT_MS + 1);
-    directory.hear(entry(FIRST));
+    await simulation.runFor(INCARNATION_SILENCE_MS + 1);
+    directory.reportDirectly(entry(FIRST));
     expect(directory.find('i-1')?.bornAt).toBe(FIRST.bornAt);
-    directory.hear(entry({ ...SECOND, sequence: 7 }));
+    directory.reportDirectly(entry({ ...SECOND, sequence: 7 }));
     expect(directory.find('i-1')).toEqual(entry({ ...SECOND, sequence: 7, generation: 1 }));
   });
 
   it('is taken up after a leaving of an unknown life once another tells which life it was', () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.leave('i-1');
-    directory.hear(entry({ sequence: 4 }));
+    directory.reportDirectly(entry({ sequence: 4 }));
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
     directory.report(entry(FIRST));
     expect(directory.find('i-1')).toMatchObject({ state: RegisteredState.Gone, bornAt: 1_000 });
-    directory.hear(entry(SECOND));
+    directory.reportDirectly(entry(SECOND));
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Ready);
   });
 
   it('is taken up after a leaving of a life that nobody knows when that is forgotten', async () => {
-    const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
     directory.leave('i-1');
     await simulation.runFor(FORGET_AFTER_MS + 1);
     directory.forgetSilent();
-    directory.hear(entry(SECOND));
+    directory.reportDirectly(entry(SECOND));
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Ready);
   });
 
   it('leaves also where the controller that heard it does not know its generation', () => {
     const raised = { ...SECOND, generation: 1 };
     for (const state of [RegisteredState.Draining, RegisteredState.Gone]) {
-      const directory = new ReplicaDirectory(clock, DirectoryKind.HearsChanges);
+      const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesChanges);
       directory.report(entry(raised));
-      const other = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+      const other = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
       if (state === RegisteredState.Gone) other.leave('i-1');
-      else other.hear(entry({ ...SECOND, sequence: 2, state }));
+      else other.reportDirectly(entry({ ...SECOND, sequence: 2, state }));
       for (const told of other.all()) directory.report(told);
       expect(directory.find('i-1')).toMatchObject({ state, generation: 1 });
       for (const told of directory.all()) other.report(told);
@@ -192,21 +192,21 @@
       }),
       { minLength: 1, maxLength: 8 },
     );
-    const shown = (directory: ReplicaDirectory): string => {
+    const describeEntry = (directory: ReplicaDirectory): string => {
       const { state, sequence, bornAt, generation = 0 } = directory.find('i-1') ?? entry();
       return `${state} ${sequence} ${bornAt} ${generation}`;
     };
-    const holding = (list: readonly Partial<ReplicaEntry>[]): ReplicaDirectory => {
-      const directory = new ReplicaDirectory(clock, DirectoryKind.HearsHeartbeats);
+    const directoryAfter = (list: readonly Partial<ReplicaEntry>[]): ReplicaDirectory => {
+      const directory = new ReplicaDirectory(clock, DirectoryKind.ReceivesHeartbeats);
       for (const report of list) directory.report(entry(report));
       return directory;
     };
     fc.assert(
       fc.property(reports, (list) => {
-        const [left, right] = [holding(list), holding([...list].reverse())];
+        const [left, right] = [directoryAfter(list), directoryAfter([...list].reverse())];
         for (const told of [...right.all()]) left.report(told);
         for (const told of [...left.all()]) right.report(told);
-        expect(shown(left)).toBe(shown(right));
+        expect(describeEntry(left)).toBe(describeEntry(right));
       }),
       { seed: 6, numRuns: 1_000 },
     );
--- a/test/directory/replica-store.test.ts
+++ b/test/directory/replica-store.test.ts
@@ -4,7 +4,7 @@
 import {
   DirectoryKind,
   ReplicaDirectory,
-  RESTORED_VALID_MS,
+  RESTORED_RETENTION_MS,
 } from '../../src/directory/replica-directory.js';
 import { RegisteredState, type ReplicaEntry } from '../../src/directory/replica-entry.js';
 import {
@@ -17,7 +17,7 @@
 import { GatewayHarness } from '../gateway/gateway-harness.js';
 
 /** Longer than the store takes to write what has changed. */
-const WRITTEN_MS = 1_000;
+const WRITE_DELAY_MS = 1_000;
 
 function entry(replicaId: string, state = RegisteredState.Ready): ReplicaEntry {
   const place = { service: 'ledger', address: '10.0.0.1:80', zone: 'a' };
@@ -25,10 +25,10 @@
 }
 
 /** Stores `entries` on a disk, loses power, and gives the directory of the next start. */
-async function storedAndRestored(
+async function restoreAfterPowerLoss(
   simulation: Simulation,
   entries: readonly ReplicaEntry[],
-  storedForMs = WRITTEN_MS,
+  runForMs = WRITE_DELAY_MS,
 ): Promise<ReplicaDirectory> {
   const machine = simulation.createMachine('controller', 'a');
   const stopped = new AbortController().signal;
@@ -38,35 +38,39 @@
     const unusable = new UnusableEntries({ clock, ...telemetry });
     return { clock, disk, directory, unusable, logger: SILENT_LOGGER, stopped };
   };
-  const before = new ReplicaDirectory(machine.environment.clock, DirectoryKind.HearsHeartbeats);
+  const before = new ReplicaDirectory(machine.environment.clock, DirectoryKind.ReceivesHeartbeats);
   void storeReplicas(partsOf(before));
   for (const each of entries) before.report(each);
-  await simulation.runFor(storedForMs);
+  await simulation.runFor(runForMs);
   machine.crash({ power: true });
   machine.restart({ keepDisk: true });
-  const after = new ReplicaDirectory(machine.environment.clock, DirectoryKind.HearsHeartbeats);
+  const after = new ReplicaDirectory(machine.environment.clock, DirectoryKind.ReceivesHeartbeats);
   await simulation.settle(restoreReplicas(partsOf(after)));
   return after;
 }
 
 describe('replicas on a controller disk', () => {
   it('are known again after a loss of power, as restored', async () => {
-    const directory = await storedAndRestored(new Simulation(3), [entry('i-1')]);
+    const directory = await restoreAfterPowerLoss(new Simulation(3), [entry('i-1')]);
     expect(directory.find('i-1')).toMatchObject({ service: 'ledger', restored: true, warmupMs: 0 });
   });
 
   it('are known again with the life that they had', async () => {
-    const reborn = { ...entry('i-1'), bornAt: 1_790_000_000_000, generation: 2 };
-    const directory = await storedAndRestored(new Simulation(3), [reborn]);
-    expect(directory.find('i-1')).toMatchObject({ bornAt: reborn.bornAt, generation: 2 });
+    const restarted = { ...entry('i-1'), bornAt: 1_790_000_000_000, generation: 2 };
+    const directory = await restoreAfterPowerLoss(new Simulation(3), [restarted]);
+    expect(directory.find('i-1')).toMatchObject({ bornAt: restarted.bornAt, generation: 2 });
   });
 
   it('are forgotten when they are not heard of soon, but not those that leave', async () => {
     const simulation = new Simulation(3);
     const leaving = entry('i-2', RegisteredState.Draining);
-    const directory = await storedAndRestored(simulation, [entry('i-1'), leaving, entry('i-3')]);
-    await simulation.runFor(RESTORED_VALID_MS - 100);
-    directory.noteHeard('i-3');
+    const directory = await restoreAfterPowerLoss(simulation, [
+      entry('i-1'),
+      leaving,
+      entry('i-3'),
+    ]);
+    await simulation.runFor(RESTORED_RETENTION_MS - 100);
+    directory.recordHeartbeat('i-3');
     await simulation.runFor(200);
     directory.forgetSilent();
     expect([...directory.all()].map(({ replicaId }) => replicaId)).toEqual(['i-2', 'i-3']);
@@ -75,14 +79,14 @@
 
   it('never let a late heartbeat bring back one that leaves', async () => {
     const leaving = entry('i-1', RegisteredState.Gone);
-    const directory = await storedAndRestored(new Simulation(3), [leaving]);
+    const directory = await restoreAfterPowerLoss(new Simulation(3), [leaving]);
     directory.report({ ...entry('i-1'), sequence: 9 });
     expect(directory.find('i-1')?.state).toBe(RegisteredState.Gone);
   });
 
   it('are not stored any more once they fall silent', async () => {
     const simulation = new Simulation(3);
-    const directory = await storedAndRestored(simulation, [entry('i-1')], 9_000);
+    const directory = await restoreAfterPowerLoss(simulation, [entry('i-1')], 9_000);
     expect([...directory.all()]).toEqual([]);
   });
 
--- a/test/directory/route-sight.test.ts
+++ b/test/directory/route-lag-metrics.test.ts
@@ -4,10 +4,10 @@
 
 const CHANGING_MS = 4_000;
 /** Longer than a gateway that is cut off from everybody stays connected. Milliseconds. */
-const LOST_MS = 6_000;
+const FREEZE_MS = 6_000;
 
 /** Greatest value of a gauge over all controllers. */
-async function greatest({ fleet }: StartedRollout, metric: string): Promise<number> {
+async function maximumOf({ fleet }: StartedRollout, metric: string): Promise<number> {
   const values: number[] = [];
   for (const registry of fleet.registries) {
     const reading = await registry.getSingleMetric(metric)?.get();
@@ -25,16 +25,18 @@
   const { simulation, fleet, operator } = started;
   void operator.run(simulation.now + CHANGING_MS);
   await simulation.runFor(CHANGING_MS / 2);
-  expect(await greatest(started, 'driftway_controller_route_version')).toBeGreaterThan(3);
-  expect(await greatest(started, 'driftway_controller_routes_lacking_seconds')).toBeLessThan(0.5);
+  expect(await maximumOf(started, 'driftway_controller_route_version')).toBeGreaterThan(3);
+  expect(await maximumOf(started, 'driftway_controller_routes_lacking_seconds')).toBeLessThan(0.5);
 
-  fleet.gateways[0]?.machine.freeze(LOST_MS);
+  fleet.gateways[0]?.machine.freeze(FREEZE_MS);
   await simulation.runFor(1_000);
-  expect(await greatest(started, 'driftway_controller_gateways_lacking_routes')).toBeGreaterThan(0);
-  const lacking = await greatest(started, 'driftway_controller_routes_lacking_seconds');
+  expect(await maximumOf(started, 'driftway_controller_gateways_lacking_routes')).toBeGreaterThan(
+    0,
+  );
+  const lacking = await maximumOf(started, 'driftway_controller_routes_lacking_seconds');
   expect(lacking).toBeGreaterThan(0.5);
   expect(lacking).toBeLessThan(1.1);
 
-  await simulation.runFor(CHANGING_MS + LOST_MS);
-  expect(await greatest(started, 'driftway_controller_gateways_lacking_routes')).toBe(0);
+  await simulation.runFor(CHANGING_MS + FREEZE_MS);
+  expect(await maximumOf(started, 'driftway_controller_gateways_lacking_routes')).toBe(0);
 });
--- a/test/directory/route-lag-watch.test.ts
+++ b/test/directory/route-lag-watch.test.ts
@@ -17,19 +17,19 @@
     { gateway: 'gateway-1', zone: 'b', version: 3, lackingMs, owedBy: ['controller-b'] },
   ];
   const watch = new RouteLagWatch({ clock, logger, gateways, version: () => 9 });
-  watch.look();
+  watch.check();
   expect(lines).toEqual([]);
   lackingMs = 2_500;
-  for (let looks = 0; looks < 10; looks += 1) {
-    watch.look();
+  for (let checks = 0; checks < 10; checks += 1) {
+    watch.check();
     await simulation.runFor(250);
   }
   const longest = [{ gateway: 'gateway-1', inForce: 3, lackingMs: 2_500, owedBy: 'controller-b' }];
   const late = { version: 9, gateways: 1, longest };
   expect(lines).toEqual([{ message: 'gateways lack the route document', fields: late }]);
   lackingMs = undefined;
-  watch.look();
-  watch.look();
+  watch.check();
+  watch.check();
   expect(lines.slice(1)).toEqual([
     { message: 'gateways have the route document', fields: { version: 9 } },
   ]);
--- a/test/directory/steady-changes.test.ts
+++ b/test/directory/steady-changes.test.ts
@@ -20,18 +20,18 @@
 const LONGEST_DELAY_MS = 2_000;
 /** The same while nothing is lost, from another zone as well. Milliseconds. */
 const LONGEST_ORDERLY_DELAY_MS = 100;
-const DARK_MS = 20_000;
+const CHANGING_MS = 20_000;
 
 /** Delays of the rollouts at the gateways of a zone whose controller is dark for the whole time. */
-async function worstDelay(pauseMs: number): Promise<number> {
+async function longestDelay(pauseMs: number): Promise<number> {
   const pausesMs = [pauseMs];
   const { simulation, fleet, ledger, operator } = await startRollout({
     ...DEFAULT_ROLLOUT_OPTIONS,
     pausesMs,
     faults: [],
   });
-  const end = simulation.now + DARK_MS;
-  fleet.controllers.at(-1)?.crash({ power: true, downtime: 2 * DARK_MS });
+  const end = simulation.now + CHANGING_MS;
+  fleet.controllers.at(-1)?.crash({ power: true, downtime: 2 * CHANGING_MS });
   void operator.run(end);
   await simulation.runUntil(end + 2 * LONGEST_DELAY_MS);
   const delays = ledger.delays(simulation.now).map(({ delayMs }) => delayMs);
@@ -41,15 +41,15 @@
 
 describe('routes at a gateway whose near controller is dark', () => {
   it('come in force in time also when a change follows each 60 ms', async () => {
-    expect(await worstDelay(60)).toBeLessThan(LONGEST_DELAY_MS);
+    expect(await longestDelay(60)).toBeLessThan(LONGEST_DELAY_MS);
   });
 
   it('come in force in time also when a change follows each 1.1 s', async () => {
-    expect(await worstDelay(1_100)).toBeLessThan(LONGEST_DELAY_MS);
+    expect(await longestDelay(1_100)).toBeLessThan(LONGEST_DELAY_MS);
   });
 
   it('come in force in time when changes are rare', async () => {
-    expect(await worstDelay(4_000)).toBeLessThan(LONGEST_DELAY_MS);
+    expect(await longestDelay(4_000)).toBeLessThan(LONGEST_DELAY_MS);
   });
 });
 
@@ -60,7 +60,7 @@
     pausesMs: [2_000],
     faults: [],
   });
-  const end = simulation.now + DARK_MS;
+  const end = simulation.now + CHANGING_MS;
   void operator.run(end);
   await simulation.runUntil(end + 2 * LONGEST_DELAY_MS);
   const delays = ledger.delays(simulation.now).map(({ delayMs }) => delayMs);
--- a/test/directory/unreadable-frames.test.ts
+++ b/test/directory/unreadable-frames.test.ts
@@ -41,12 +41,12 @@
     identity: { ...identity, name: 'gateway' },
     subscriberKind: SubscriberKind.Gateway,
     zone: 'a',
-    directory: new ReplicaDirectory(environment.clock, DirectoryKind.HearsChanges),
+    directory: new ReplicaDirectory(environment.clock, DirectoryKind.ReceivesChanges),
     unusable: new UnusableEntries({ clock: environment.clock, ...telemetry }),
     traffic: new ZoneTraffic('a', registry),
     ...telemetry,
   });
-  client.useSeeds([`${address.host}:${address.port}`]);
+  client.setSeeds([`${address.host}:${address.port}`]);
   await simulation.runFor(1_000);
   expect(await countUnreadable(registry)).toBeGreaterThan(0);
   expect(client.openLinks).toBe(0);
--- a/test/directory/version-confirmer.test.ts
+++ b/test/directory/version-confirmer.test.ts
@@ -37,7 +37,7 @@
   }
 
   ask(number: number): void {
-    this.confirmer.ask(number, ({ version }) => {
+    this.confirmer.requestConfirmation(number, ({ version }) => {
       this.answered.push({ number, version });
     });
   }
@@ -104,12 +104,12 @@
 });
 
 /** Gateways of which each asks one controller, all started together. */
-class AskingFleet {
+class RequestingFleet {
   readonly simulation = new Simulation(7);
   readonly controllers: ConfirmingController[];
   private readonly leases: LeaseRenewal[] = [];
   /** Clock readings, of the controllers' clock. */
-  readonly askedAt: number[] = [];
+  readonly requestedAt: number[] = [];
   private readonly clock: Clock;
 
   constructor(gateways: number, controllers: number, needsKeys = true) {
@@ -146,9 +146,9 @@
     controller: ConfirmingController | undefined,
     lease: () => LeaseRenewal,
   ): boolean {
-    this.askedAt.push(this.clock.now());
+    this.requestedAt.push(this.clock.now());
     this.clock.setTimer(LINK_MS, () =>
-      controller?.confirmer.ask(number, ({ version }) => {
+      controller?.confirmer.requestConfirmation(number, ({ version }) => {
         this.clock.setTimer(LINK_MS, () => lease().handleConfirmation(number, version));
       }),
     );
@@ -168,14 +168,14 @@
   const SECONDS = 20;
 
   it('cost few messages and barriers, and hold their leases throughout', async () => {
-    const fleet = new AskingFleet(gateways, controllers);
+    const fleet = new RequestingFleet(gateways, controllers);
     await fleet.simulation.runFor(1_000);
-    const [asksBefore, barriersBefore] = [fleet.askedAt.length, fleet.barriers];
+    const [asksBefore, barriersBefore] = [fleet.requestedAt.length, fleet.barriers];
     for (let second = 0; second < SECONDS; second += 1) {
       await fleet.simulation.runFor(1_000);
       expect(fleet.held).toBe(gateways);
     }
-    const asks = (fleet.askedAt.length - asksBefore) / SECONDS;
+    const asks = (fleet.requestedAt.length - asksBefore) / SECONDS;
     const barriers = (fleet.barriers - barriersBefore) / SECONDS;
     expect(asks).toBeGreaterThan(gateways);
     expect(asks).toBeLessThan(asksPerSecond);
@@ -183,15 +183,15 @@
   });
 
   it('have their first leases at once when all start together, by few barriers', async () => {
-    const fleet = new AskingFleet(gateways, controllers);
+    const fleet = new RequestingFleet(gateways, controllers);
     await fleet.simulation.runFor(2 * CONFIRMATION_INTERVAL_MS + 2 * BARRIER_MS);
     expect(fleet.held).toBe(gateways);
     expect(fleet.barriers).toBeLessThanOrEqual(3 * controllers);
   });
 
   it('ask nothing where no route needs a key', async () => {
-    const fleet = new AskingFleet(gateways, controllers, false);
+    const fleet = new RequestingFleet(gateways, controllers, false);
     await fleet.simulation.runFor(10_000);
-    expect(fleet.askedAt).toEqual([]);
+    expect(fleet.requestedAt).toEqual([]);
   });
 });
--- a/test/gateway/burst-simulation.test.ts
+++ b/test/gateway/burst-simulation.test.ts
@@ -76,7 +76,7 @@
   models: ReadonlyMap<string, ReplicaModel>,
   mechanisms: GatewayMechanisms,
 ): GatewayContext {
-  const directory = new ReplicaDirectory(environment.clock, DirectoryKind.HearsChanges);
+  const directory = new ReplicaDirectory(environment.clock, DirectoryKind.ReceivesChanges);
   const silent = { info: () => undefined, warn: () => undefined, error: () => undefined };
   const logger = { ...silent, child: () => logger };
   const context = createGatewayContext({
--- a/test/gateway/service-targets.test.ts
+++ b/test/gateway/service-targets.test.ts
@@ -28,7 +28,7 @@
 } {
   const simulation = new Simulation(3);
   const { environment } = simulation.createMachine('gateway', 'a');
-  const directory = new ReplicaDirectory(environment.clock, DirectoryKind.HearsChanges);
+  const directory = new ReplicaDirectory(environment.clock, DirectoryKind.ReceivesChanges);
   return {
     directory,
     targets: new ServiceTargets(environment, directory),
