--- a/src/control-stream/daemon-directory.ts
+++ b/src/control-stream/daemon-directory.ts
@@ -1,7 +1,8 @@
 /**
- * The daemons of the cluster by lease: each report renews it, at the controller
- * that hears it and at those it is passed on to. A daemon whose lease ran out
- * counts as late, not as gone: it may still serve with what it holds.
+ * The daemons of the cluster, each with a lease that every report renews, both
+ * at the controller that receives it and at those it is forwarded to. A daemon
+ * whose lease has expired counts as late, not as gone: it may still serve with
+ * the configuration that it holds.
  */
 import type { DaemonRevision, ForceReport, ForceTracker } from '../administration/force-tracker.js';
 import type { Clock } from '../seams/clock.js';
@@ -9,36 +10,36 @@
 import { isNewer, type DaemonRecord } from './daemon-record.js';
 import { VersionedTable } from './versioned-table.js';
 
-/** Most daemons remembered. */
+/** Maximum number of daemons whose records are kept for other controllers. */
 const MAXIMUM_DAEMONS = 20_000;
 
-/** A report is passed on at once when it says something new, otherwise this often. Milliseconds. */
+/** A changed record is forwarded at once, an unchanged one at this interval. Milliseconds. */
 const RENEWAL_INTERVAL_MS = 5_000;
 
-/** A daemon not heard of for this long is shown as silent. Milliseconds. */
+/** A daemon without a report for this long is shown as silent. Milliseconds. */
 export const DAEMON_LEASE_MS = 15_000;
 
 /**
- * A daemon not heard of for this long is forgotten: longer than regions are
- * expected to be out of reach of each other, since it may serve meanwhile with
- * what it holds. Milliseconds.
+ * A daemon without a report for this long is removed. Longer than any expected
+ * partition between regions, during which the daemon may go on serving with
+ * the configuration that it holds. Milliseconds.
  */
 export const FORGET_AFTER_MS = 2 * 3_600_000;
 
-/** A daemon as shown to operators. */
-export interface KnownDaemon {
+/** A daemon's latest record and its age. */
+export interface DaemonStatus {
   readonly record: DaemonRecord;
-  /** Since its last report reached this controller. Milliseconds. */
+  /** Time since the daemon's latest report, wherever it was received. Milliseconds. */
   readonly silentMs: number;
 }
 
-interface Sighting {
+interface DaemonEntry {
   record: DaemonRecord;
-  heardAt: number;
-  passedOnAt: number;
+  reportedAt: number;
+  forwardedAt: number;
 }
 
-function saysSomethingNew(record: DaemonRecord, known: DaemonRecord): boolean {
+function hasChanged(record: DaemonRecord, known: DaemonRecord): boolean {
   return (
     record.revision !== known.revision ||
     record.incarnation !== known.incarnation ||
@@ -47,14 +48,14 @@
   );
 }
 
-function describeDaemon({ record, silentMs }: KnownDaemon): DaemonRevision {
+function toDaemonRevision({ record, silentMs }: DaemonStatus): DaemonRevision {
   const { name, zone, version, revision } = record;
   return { name, zone, version, revision, silentMs };
 }
 
-/** One controller's view. */
+/** One controller's records of all daemons, whether reported here or at another controller. */
 export class DaemonDirectory implements ForceTracker {
-  private readonly sightings = new Map<string, Sighting>();
+  private readonly entries = new Map<string, DaemonEntry>();
   private readonly outgoing = new VersionedTable<DaemonRecord>(MAXIMUM_DAEMONS);
 
   constructor(
@@ -62,60 +63,60 @@
     private readonly faults: ControlStreamFaults = NO_CONTROL_STREAM_FAULTS,
   ) {}
 
-  /** Position of the newest record to pass on. */
+  /** Position of the newest record to forward. */
   get position(): number {
     return this.outgoing.position;
   }
 
-  /** Records to pass on that changed after `position`, with their present age. */
-  changedAfter(position: number): readonly KnownDaemon[] {
+  /** Records to forward that changed after `position`, with their present age. */
+  changedAfter(position: number): readonly DaemonStatus[] {
     const now = this.clock.now();
     return this.outgoing.changedAfter(position).map((record) => {
-      const heardAt = this.sightings.get(record.name)?.heardAt ?? now;
-      return { record, silentMs: now - heardAt };
+      const reportedAt = this.entries.get(record.name)?.reportedAt ?? now;
+      return { record, silentMs: now - reportedAt };
     });
   }
 
-  /** Largest incarnation shown under `name`; 0 when none was. */
+  /** Largest incarnation reported under `name`; 0 if there is none. */
   incarnationOf(name: string): number {
-    return this.sightings.get(name)?.record.incarnation ?? 0;
+    return this.entries.get(name)?.record.incarnation ?? 0;
   }
 
-  /** Takes in a report given `silentMs` ago; returns whether it has to be passed on now. */
+  /** Records a report made `silentMs` ago; returns whether it must be forwarded now. */
   record(record: DaemonRecord, silentMs = 0): boolean {
     const now = this.clock.now();
-    const known = this.sightings.get(record.name);
+    const known = this.entries.get(record.name);
     if (known !== undefined && !isNewer(record, known.record)) return false;
-    const isNews =
+    const mustForward =
       known === undefined ||
-      saysSomethingNew(record, known.record) ||
-      now - known.passedOnAt >= RENEWAL_INTERVAL_MS;
-    const passedOnAt = isNews ? now : known.passedOnAt;
-    this.sightings.set(record.name, { record, heardAt: now - silentMs, passedOnAt });
-    if (isNews) this.outgoing.put(record.name, record);
-    return isNews;
+      hasChanged(record, known.record) ||
+      now - known.forwardedAt >= RENEWAL_INTERVAL_MS;
+    const forwardedAt = mustForward ? now : known.forwardedAt;
+    this.entries.set(record.name, { record, reportedAt: now - silentMs, forwardedAt });
+    if (mustForward) this.outgoing.put(record.name, record);
+    return mustForward;
   }
 
-  /** Daemons that have not said that they stop, by name. */
-  daemons(): KnownDaemon[] {
+  /** All daemons except those that announced their stop, ordered by name. */
+  daemons(): DaemonStatus[] {
     const now = this.clock.now();
-    this.forgetOld(now);
-    return [...this.sightings.values()]
+    this.removeExpired(now);
+    return [...this.entries.values()]
       .filter(({ record }) => !record.left)
-      .map(({ record, heardAt }) => ({ record, silentMs: now - heardAt }))
+      .map(({ record, reportedAt }) => ({ record, silentMs: now - reportedAt }))
       .sort((left, right) => (left.record.name < right.record.name ? -1 : 1));
   }
 
   inForce(_revision: number): ForceReport {
-    return { daemons: this.daemons().map(describeDaemon) };
+    return { daemons: this.daemons().map(toDaemonRevision) };
   }
 
-  private forgetOld(now: number): void {
+  private removeExpired(now: number): void {
     const forgetAfter =
       this.faults.forgetSilentDaemons === true ? DAEMON_LEASE_MS : FORGET_AFTER_MS;
-    for (const [name, { heardAt }] of this.sightings) {
-      if (now - heardAt <= forgetAfter) continue;
-      this.sightings.delete(name);
+    for (const [name, { reportedAt }] of this.entries) {
+      if (now - reportedAt <= forgetAfter) continue;
+      this.entries.delete(name);
       this.outgoing.remove(name);
     }
   }
--- a/src/control-stream/exchange-link.ts
+++ b/src/control-stream/exchange-link.ts
@@ -1,4 +1,4 @@
-/** The sending half of the exchange with one other controller. */
+/** The sending half of the exchange with one other controller: dials it and sends updates. */
 import type { Notifier } from '../consensus/notifier.js';
 import { dial } from '../protocol/dial.js';
 import { parseAddress } from '../seams/address.js';
@@ -6,37 +6,40 @@
 import { EXCHANGE_SILENCE_MS, type ControllerExchangeParts } from './controller-exchange.js';
 import type { DaemonRecord } from './daemon-record.js';
 import { EXCHANGE_CODEC, type ExchangeMessage } from './exchange-messages.js';
-import { readHearing } from './heard-controllers.js';
+import { parseHearing } from './connected-controllers.js';
 import { SilenceGuard } from './silence-guard.js';
 import { CONNECT_TIMEOUT_MS, INITIAL_BACK_OFF_MS, MAXIMUM_BACK_OFF_MS } from './stream-timing.js';
 
-/** Longest time without a message. Milliseconds. */
+/** A keep-alive is sent after this long without any other message. Milliseconds. */
 const KEEP_ALIVE_INTERVAL_MS = 3_000;
 
-/** News within this time goes into one frame. Milliseconds. */
+/** Delay before updates are sent, so that those in quick succession share a frame. Milliseconds. */
 const BATCH_INTERVAL_MS = 50;
 
-/** Most messages of one frame. */
+/** Maximum number of messages in one frame. */
 const MESSAGES_PER_FRAME = 1_000;
 
-const NOTHING_HEARD: ReadonlySet<string> = new Set();
+const NO_CONTROLLERS: ReadonlySet<string> = new Set();
 
-/** Reconnects until stopped. */
+/** Reconnects with jittered back-off until stopped. */
 export class ExchangeLink {
   private readonly stopped = new AbortController();
   private connection: MessageConnection | undefined;
-  /** Controllers that the other one hears itself, as it last said. */
-  private peerHears: ReadonlySet<string> = NOTHING_HEARD;
+  /**
+   * Member ids of the controllers connected to the peer, from its latest answer
+   * that listed them.
+   */
+  private connectedToPeer: ReadonlySet<string> = NO_CONTROLLERS;
   private daemonPosition = 0;
-  private signPosition = 0;
-  private sentAt = Number.NEGATIVE_INFINITY;
+  private livenessReportPosition = 0;
+  private lastSentAt = Number.NEGATIVE_INFINITY;
   private readonly finished: Promise<void>;
 
   constructor(
     private readonly parts: ControllerExchangeParts,
     private readonly memberId: string,
     private readonly address: string,
-    private readonly news: Notifier,
+    private readonly updates: Notifier,
   ) {
     this.finished = this.run();
   }
@@ -44,7 +47,7 @@
   async stop(): Promise<void> {
     this.stopped.abort(new Error('stopped'));
     this.connection?.close();
-    this.news.notify();
+    this.updates.notify();
     await this.finished;
   }
 
@@ -58,7 +61,7 @@
     }
   }
 
-  /** Returns whether the connection came about. */
+  /** Resolves when the connection has ended, with whether it was established; never rejects. */
   private async connectAndSend(): Promise<boolean> {
     const { environment, identity } = this.parts;
     let open = false;
@@ -72,9 +75,9 @@
       this.connection = connection;
       open = true;
       void this.receiveAnswers(connection);
-      await this.sendNews(connection);
+      await this.sendUpdates(connection);
     } catch {
-      // Counted by the accepting side; tried again after a pause.
+      // The accepting side counts the failure; this side reconnects after a pause.
     } finally {
       this.connection?.close();
       this.connection = undefined;
@@ -82,32 +85,32 @@
     return open;
   }
 
-  /** From the beginning on each connection: the other side may have lost what it knew. */
-  private async sendNews(connection: MessageConnection): Promise<void> {
-    const { daemons, signs } = this.parts;
-    this.peerHears = NOTHING_HEARD;
+  /** Sends all updates anew on each connection, because the peer may have lost its state. */
+  private async sendUpdates(connection: MessageConnection): Promise<void> {
+    const { daemons, livenessReports } = this.parts;
+    this.connectedToPeer = NO_CONTROLLERS;
     this.daemonPosition = 0;
-    this.signPosition = 0;
-    this.sentAt = Number.NEGATIVE_INFINITY;
+    this.livenessReportPosition = 0;
+    this.lastSentAt = Number.NEGATIVE_INFINITY;
     while (!this.stopped.signal.aborted) {
-      const news = this.news.wait(KEEP_ALIVE_INTERVAL_MS);
-      const messages = this.messagesDue();
+      const nextUpdate = this.updates.wait(KEEP_ALIVE_INTERVAL_MS);
+      const messages = this.nextMessages();
       this.daemonPosition = daemons.position;
-      this.signPosition = signs.position;
+      this.livenessReportPosition = livenessReports.position;
       for (let start = 0; start < messages.length; start += MESSAGES_PER_FRAME) {
         const batch = messages.slice(start, start + MESSAGES_PER_FRAME);
         await connection.send(EXCHANGE_CODEC.encodeBatch(batch));
-        this.sentAt = this.parts.environment.clock.now();
+        this.lastSentAt = this.parts.environment.clock.now();
       }
-      await news;
+      await nextUpdate;
       await this.pause(BATCH_INTERVAL_MS);
     }
   }
 
   /**
-   * Reads the answers of the other side. Without them, a connection that was cut
-   * for long would first carry something again at TCP's next retransmission,
-   * minutes after the cut has healed.
+   * Reads the peer's answers, and closes the connection when they stop. Without
+   * that, a connection that survived a long partition would carry no data until
+   * TCP's next retransmission, minutes after the partition has healed.
    */
   private async receiveAnswers(connection: MessageConnection): Promise<void> {
     const guard = new SilenceGuard(this.parts.environment.clock, connection, EXCHANGE_SILENCE_MS);
@@ -116,47 +119,47 @@
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) break;
-        guard.heard();
+        guard.recordReceived();
         for (const message of EXCHANGE_CODEC.decodeBatch(frame, this.memberId)) {
-          if (message.kind === 'hearing') this.takeHearing(readHearing(message));
+          if (message.kind === 'hearing') this.handleHearing(parseHearing(message));
         }
       }
     } catch {
-      // Broken, or not an answer: the connection is no use any more.
+      // The connection broke, or the peer sent something that is not an answer: close it.
     }
     connection.close();
   }
 
-  private takeHearing(hears: ReadonlySet<string>): void {
-    const lost = [...this.peerHears].some((memberId) => !hears.has(memberId));
-    this.peerHears = hears;
-    if (!lost) return;
-    // What was left to a controller that the other one no longer hears.
+  private handleHearing(connected: ReadonlySet<string>): void {
+    const hasDisconnected = [...this.connectedToPeer].some((memberId) => !connected.has(memberId));
+    this.connectedToPeer = connected;
+    if (!hasDisconnected) return;
+    // The peer lost a controller that sent it daemon records directly: send these from here.
     this.daemonPosition = 0;
-    this.news.notify();
+    this.updates.notify();
   }
 
-  private mustSend({ controller }: DaemonRecord): boolean {
+  private shouldSend({ controller }: DaemonRecord): boolean {
     if (controller === this.parts.identity.name) return true;
-    return controller !== this.memberId && !this.peerHears.has(controller);
+    return controller !== this.memberId && !this.connectedToPeer.has(controller);
   }
 
-  private collect(): ExchangeMessage[] {
+  private collectUpdates(): ExchangeMessage[] {
     const daemons = this.parts.daemons
       .changedAfter(this.daemonPosition)
-      .filter(({ record }) => this.mustSend(record))
+      .filter(({ record }) => this.shouldSend(record))
       .map(({ record, silentMs }) => ({ kind: 'daemon' as const, ...record, silentMs }));
-    const signs = this.parts.signs
-      .changedAfter(this.signPosition)
-      .map(({ scope, sign }) => ({ kind: 'scopedSign' as const, scope, ...sign }));
-    return this.parts.faults?.withholdReports === true ? [] : [...daemons, ...signs];
+    const livenessReports = this.parts.livenessReports
+      .changedAfter(this.livenessReportPosition)
+      .map(({ scope, report }) => ({ kind: 'scopedSign' as const, scope, ...report }));
+    return this.parts.faults?.withholdReports === true ? [] : [...daemons, ...livenessReports];
   }
 
-  /** What is new to the other controller; a sign of life when there is nothing, and it is time. */
-  private messagesDue(): ExchangeMessage[] {
-    const messages = this.collect();
+  /** Updates for the peer; a keep-alive if there are none and it is due; otherwise nothing. */
+  private nextMessages(): ExchangeMessage[] {
+    const messages = this.collectUpdates();
     if (messages.length > 0) return messages;
-    const isSilent = this.parts.environment.clock.now() - this.sentAt >= KEEP_ALIVE_INTERVAL_MS;
+    const isSilent = this.parts.environment.clock.now() - this.lastSentAt >= KEEP_ALIVE_INTERVAL_MS;
     return isSilent ? [{ kind: 'keepAlive' }] : [];
   }
 
--- a/src/control-stream/source-link.ts
+++ b/src/control-stream/source-link.ts
@@ -1,6 +1,6 @@
 /**
- * A connection of a daemon with one controller: opened, watched, and ended for
- * one stated reason. What passes over it is the business of its owner.
+ * A daemon's connection to one controller. The link opens it, watches it and
+ * ends it for one recorded reason; its owner handles the messages.
  */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
 import { dial } from '../protocol/dial.js';
@@ -14,24 +14,24 @@
 import { STREAM_CODEC, type StreamMessage, type SubscribeMessage } from './stream-messages.js';
 import { CONNECT_TIMEOUT_MS, WATCH_INTERVAL_MS } from './stream-timing.js';
 
-/** Used for one connection. */
+/** Carries one connection; cannot be reused. */
 export class SourceLink {
   readonly watch: SourceWatch;
   private connection: MessageConnection | undefined;
   private reason: SessionEnd | undefined;
   private cause: unknown;
-  private readonly over = new AbortController();
+  private readonly endSignal = new AbortController();
 
   constructor(
     private readonly context: SessionContext,
     readonly endpoint: ControllerEndpoint,
-    /** Until then a source without a quorum is not left. Clock reading. */
+    /** Clock reading until which a stale or behind source is tolerated. Milliseconds. */
     staleUntil: number,
   ) {
     this.watch = new SourceWatch(context.environment.clock.now(), staleUntil);
   }
 
-  /** What the end is due to, where there is more to say than its reason. */
+  /** Message of the error that ended the connection, if there was one. */
   get detail(): string | undefined {
     return this.cause instanceof Error ? this.cause.message : undefined;
   }
@@ -41,19 +41,19 @@
   }
 
   /**
-   * Connects, subscribes, and hands each message to `take` until either side
-   * ends the connection. Resolves with why it ended; never rejects.
+   * Connects, subscribes and passes each message to `handle` until either side
+   * ends the connection. Resolves with the reason for the end; never rejects.
    */
   async run(
     subscription: SubscribeMessage,
-    take: (message: StreamMessage) => void,
+    handle: (message: StreamMessage) => void,
   ): Promise<SessionEnd> {
     try {
       const connection = await this.open();
       if (connection !== undefined) {
         void this.watchSource();
         await connection.send(STREAM_CODEC.encode(subscription));
-        await this.receiveAll(connection, take);
+        await this.receiveAll(connection, handle);
       }
     } catch (error) {
       const malformed = isProtocolViolation(error);
@@ -63,16 +63,16 @@
     return this.end('lost');
   }
 
-  /** Ends the connection; the first reason stands. */
+  /** Ends the connection. The first call determines the reason, which each call returns. */
   end(reason: SessionEnd, cause?: unknown): SessionEnd {
     if (this.reason === undefined) this.cause = cause;
     this.reason ??= reason;
-    this.over.abort(new Error(reason));
+    this.endSignal.abort(new Error(reason));
     this.connection?.close();
     return this.reason;
   }
 
-  /** Sends if it can; a broken connection shows itself to the receiving task. */
+  /** Sends a message if the connection is open; never rejects. */
   async send(message: StreamMessage): Promise<void> {
     try {
       await this.connection?.send(STREAM_CODEC.encode(message));
@@ -81,10 +81,10 @@
     }
   }
 
-  /** Waits; returns whether the connection still stands afterwards. */
+  /** Sleeps; resolves with false if the link is ended in the meantime. */
   async pause(milliseconds: number): Promise<boolean> {
     try {
-      await this.context.environment.clock.sleep(milliseconds, this.over.signal);
+      await this.context.environment.clock.sleep(milliseconds, this.endSignal.signal);
       return true;
     } catch {
       return false;
@@ -113,20 +113,20 @@
       this.connection.close();
       return undefined;
     }
-    this.watch.opened(environment.clock.now());
+    this.watch.recordOpened(environment.clock.now());
     return this.connection;
   }
 
   private async receiveAll(
     connection: MessageConnection,
-    take: (message: StreamMessage) => void,
+    handle: (message: StreamMessage) => void,
   ): Promise<void> {
     while (!this.ended) {
       const frame = await connection.receive();
       if (frame === undefined || this.ended) return;
-      this.watch.heard(this.context.environment.clock.now());
+      this.watch.recordReceived(this.context.environment.clock.now());
       this.context.metrics.receivedBytes.inc(frame.length);
-      for (const message of STREAM_CODEC.decodeBatch(frame, connection.peer)) take(message);
+      for (const message of STREAM_CODEC.decodeBatch(frame, connection.peer)) handle(message);
     }
   }
 
--- a/src/control-stream/source-session.ts
+++ b/src/control-stream/source-session.ts
@@ -1,13 +1,13 @@
 /**
- * One session of a daemon with one controller: connect, handshake, subscribe,
- * then take what arrives until either side ends it.
+ * One session of a daemon with one controller: connects, performs the handshake,
+ * subscribes, then handles messages until either side ends the session.
  */
 import type { ControllerEndpoint } from '../configuration/daemon-configuration.js';
-import type { ReplicaSign } from '../model/replica-sign.js';
+import type { LivenessReport } from '../model/liveness-report.js';
 import type { AcceptedChange } from '../settings/accepted-change.js';
 import type { SessionContext } from './session-context.js';
 import type { SessionEnd } from './session-end.js';
-import { fromSignMessage, toSignMessage } from './sign-message.js';
+import { fromLivenessReportMessage, toLivenessReportMessage } from './liveness-report-message.js';
 import { SnapshotAssembler } from './snapshot-assembler.js';
 import { SourceLink } from './source-link.js';
 import {
@@ -16,7 +16,7 @@
   type GoodbyeMessage,
   type HeartbeatMessage,
   type ResyncReason,
-  type SignMessage,
+  type LivenessReportMessage,
   type SnapshotBeginMessage,
   type SnapshotChunkMessage,
   type StreamMessage,
@@ -24,14 +24,14 @@
 } from './stream-messages.js';
 import { REPORT_INTERVAL_MS, STALE_STAY_MS } from './stream-timing.js';
 
-/** Longest time a goodbye may take to leave. Milliseconds. */
+/** How long to wait for a goodbye to be sent. Milliseconds. */
 const GOODBYE_TIMEOUT_MS = 500;
 
-/** Runs once. */
+/** Runs once; cannot be reused. */
 export class SourceSession {
   private readonly link: SourceLink;
   private readonly assembler: SnapshotAssembler;
-  private awaitingSnapshot: boolean;
+  private isAwaitingSnapshot: boolean;
 
   constructor(
     private readonly context: SessionContext,
@@ -42,34 +42,37 @@
     const staleUntil = tolerateStale ? now + STALE_STAY_MS : Number.NEGATIVE_INFINITY;
     this.link = new SourceLink(context, endpoint, staleUntil);
     this.assembler = new SnapshotAssembler(endpoint.memberId);
-    this.awaitingSnapshot = context.copy.held.revision === NO_REVISION;
+    this.isAwaitingSnapshot = context.daemonState.held.revision === NO_REVISION;
   }
 
-  /** Whether the controller took the daemon on. */
+  /** Whether the controller has accepted the subscription. */
   get wasWelcomed(): boolean {
     return this.link.watch.isWelcomed;
   }
 
-  /** More about the end than its reason says, if there is more. */
+  /** Message of the error that ended the session, if there was one. */
   get detail(): string | undefined {
     return this.link.detail;
   }
 
-  /** Resolves when the session is over; never rejects. */
+  /** Resolves with the reason when the session has ended; never rejects. */
   run(): Promise<SessionEnd> {
-    const { incarnation, zone, version, copy } = this.context;
-    const heldRevision = copy.held.revision;
+    const { incarnation, zone, version, daemonState } = this.context;
+    const heldRevision = daemonState.held.revision;
     void this.reportRegularly();
     return this.link.run(
       { kind: 'subscribe', incarnation, zone, version, heldRevision, probe: false },
-      (message) => this.take(message),
+      (message) => this.handle(message),
     );
   }
 
-  /** Tells the controller before ending, so that it does not take the daemon for lost. */
+  /**
+   * Sends a goodbye and ends the session, so that the controller does not
+   * consider the daemon lost.
+   */
   async leave(reason: 'closed' | 'returned'): Promise<void> {
     const goodbye = reason === 'closed' ? 'stopping' : 'moved';
-    // Not awaited for long: a controller that reads nothing must not hold the daemon.
+    // The wait is bounded: a controller that does not read must not block the daemon.
     await Promise.race([
       this.link.send({ kind: 'goodbye', reason: goodbye }),
       this.link.pause(GOODBYE_TIMEOUT_MS),
@@ -77,80 +80,81 @@
     this.link.end(reason);
   }
 
-  /** Tells the controller which revision is in force. */
-  report(): void {
+  /** Reports the revision in force to the controller; the result of sending is ignored. */
+  reportRevision(): void {
     this.context.reportSequence += 1;
-    const { reportSequence: sequence, copy } = this.context;
-    void this.link.send({ kind: 'report', sequence, revision: copy.held.revision });
+    const { reportSequence: sequence, daemonState } = this.context;
+    void this.link.send({ kind: 'report', sequence, revision: daemonState.held.revision });
   }
 
-  reportSign(sign: ReplicaSign): void {
-    void this.link.send(toSignMessage(sign));
+  sendLivenessReport(report: LivenessReport): void {
+    void this.link.send(toLivenessReportMessage(report));
   }
 
-  private take(message: StreamMessage): void {
+  private handle(message: StreamMessage): void {
     switch (message.kind) {
       case 'welcome':
-        return this.takeWelcome(message);
+        return this.handleWelcome(message);
       case 'snapshotBegin':
-        return this.takeBegin(message);
+        return this.handleSnapshotBegin(message);
       case 'snapshotChunk':
-        return this.takeChunk(message);
+        return this.handleSnapshotChunk(message);
       case 'delta':
-        return this.takeDelta(message);
+        return this.handleDelta(message);
       case 'heartbeat':
-        return this.takeHeartbeat(message);
+        return this.handleHeartbeat(message);
       case 'sign':
-        return this.takeSign(message);
+        return this.handleLivenessReport(message);
       case 'goodbye':
-        return this.takeGoodbye(message);
+        return this.handleGoodbye(message);
       default:
-        throw this.link.malformed(`a ${message.kind} message from a controller`);
+        throw this.link.malformed(`unexpected ${message.kind} message from a controller`);
     }
   }
 
-  private takeWelcome({ provenFresh, knownIncarnation, sourceTime }: WelcomeMessage): void {
+  private handleWelcome({ provenFresh, knownIncarnation, sourceTime }: WelcomeMessage): void {
     const { context } = this;
     if (knownIncarnation > context.incarnation) {
       context.incarnation = knownIncarnation + 1;
       this.link.end('superseded');
       return;
     }
-    // A daemon that holds nothing may have held more before its restart than
-    // this source ever saw; only a source proven fresh excludes that.
-    if (!provenFresh && context.copy.held.revision === NO_REVISION) {
+    // A daemon without a configuration may have had a higher revision before its
+    // restart than this source has ever held; only a proven fresh source rules that out.
+    if (!provenFresh && context.daemonState.held.revision === NO_REVISION) {
       this.link.end('cut_off');
       return;
     }
-    this.link.watch.welcomed(sourceTime, provenFresh, context.environment.clock.now());
-    for (const sign of context.copy.observedSigns.values()) this.reportSign(sign);
+    this.link.watch.recordWelcome(sourceTime, provenFresh, context.environment.clock.now());
+    for (const report of context.daemonState.ownLivenessReports.values())
+      this.sendLivenessReport(report);
   }
 
-  private takeBegin(message: SnapshotBeginMessage): void {
-    this.awaitingSnapshot = true;
-    this.link.watch.snapshotBegan();
+  private handleSnapshotBegin(message: SnapshotBeginMessage): void {
+    this.isAwaitingSnapshot = true;
+    this.link.watch.recordSnapshotBegin();
     this.assembler.begin(message);
   }
 
-  private takeChunk(message: SnapshotChunkMessage): void {
+  private handleSnapshotChunk(message: SnapshotChunkMessage): void {
     const snapshot = this.assembler.add(message);
     if (snapshot === undefined) return;
     if (!this.link.watch.isWelcomed)
-      throw this.link.malformed('a configuration before the welcome');
-    this.awaitingSnapshot = false;
-    this.link.watch.snapshotArrived(this.context.environment.clock.now());
-    if (!this.context.copy.takeSnapshot(snapshot))
-      throw this.link.malformed('not the hashed content');
-    this.report();
+      throw this.link.malformed('expected a welcome before the configuration');
+    this.isAwaitingSnapshot = false;
+    this.link.watch.recordSnapshotEnd(this.context.environment.clock.now());
+    if (!this.context.daemonState.applySnapshot(snapshot))
+      throw this.link.malformed('the configuration does not match its hash');
+    this.reportRevision();
   }
 
-  private takeDelta(message: DeltaMessage): void {
-    // What arrives while a snapshot is under way is contained in it or follows it.
-    if (this.awaitingSnapshot) return;
+  private handleDelta(message: DeltaMessage): void {
+    // The pending snapshot contains every change that arrives before it; later ones follow it.
+    if (this.isAwaitingSnapshot) return;
     const change = this.parseChange(message);
-    const outcome = this.context.copy.takeDelta({ change, stateHash: message.stateHash });
-    if (outcome === 'applied') this.report();
-    if (outcome === 'gap' || outcome === 'divergence') this.resync(outcome);
+    const outcome = this.context.daemonState.applyDelta({ change, stateHash: message.stateHash });
+    if (outcome === 'applied') this.reportRevision();
+    if (outcome === 'gap' || outcome === 'divergence') this.requestSnapshot(outcome);
   }
 
   private parseChange(message: DeltaMessage): AcceptedChange {
@@ -158,47 +162,47 @@
     try {
       change = JSON.parse(Buffer.from(message.change).toString('utf8')) as AcceptedChange;
     } catch (error) {
-      throw this.link.malformed('a change that is not JSON', error);
+      throw this.link.malformed('the change is not JSON', error);
     }
     if (change?.revision !== message.revision || !Array.isArray(change.operations)) {
-      throw this.link.malformed('not a change of the stated revision');
+      throw this.link.malformed('the change is not one of the stated revision');
     }
     return change;
   }
 
-  private takeHeartbeat(message: HeartbeatMessage): void {
-    const { copy, environment } = this.context;
+  private handleHeartbeat(message: HeartbeatMessage): void {
+    const { daemonState, environment } = this.context;
     const { committedRevision, stateHash } = message;
     const now = environment.clock.now();
-    const quorumAt = this.link.watch.heartbeat(message, now);
-    copy.proof.noteCommitted(committedRevision);
-    this.link.watch.compare(copy.held.revision, committedRevision, now);
-    if (this.awaitingSnapshot) return;
-    if (copy.held.contradicts(committedRevision, stateHash)) {
-      this.resync('divergence');
+    const quorumAt = this.link.watch.recordHeartbeat(message, now);
+    daemonState.proof.recordCommitted(committedRevision);
+    this.link.watch.compareRevisions(daemonState.held.revision, committedRevision, now);
+    if (this.isAwaitingSnapshot) return;
+    if (daemonState.held.divergesFrom(committedRevision, stateHash)) {
+      this.requestSnapshot('divergence');
       return;
     }
-    if (copy.held.revision === committedRevision) copy.proof.prove(quorumAt);
-    if (copy.held.mustFollow(committedRevision)) this.resync('gap');
+    if (daemonState.held.revision === committedRevision) daemonState.proof.recordProof(quorumAt);
+    if (daemonState.held.isBehind(committedRevision)) this.requestSnapshot('gap');
   }
 
-  private takeSign(message: SignMessage): void {
-    const sign = fromSignMessage(message);
-    if (sign === undefined) throw this.link.malformed('not a sign of a replica');
-    this.context.copy.takeSign(sign);
+  private handleLivenessReport(message: LivenessReportMessage): void {
+    const report = fromLivenessReportMessage(message);
+    if (report === undefined) throw this.link.malformed('expected a valid liveness report');
+    this.context.daemonState.applyLivenessReport(report);
   }
 
-  private takeGoodbye({ reason }: GoodbyeMessage): void {
+  private handleGoodbye({ reason }: GoodbyeMessage): void {
     this.link.end(reason === 'not_proven_fresh' ? 'cut_off' : 'stopping');
   }
 
-  private resync(reason: ResyncReason): void {
+  private requestSnapshot(reason: ResyncReason): void {
     this.context.metrics.resyncs.inc({ reason });
-    this.awaitingSnapshot = true;
+    this.isAwaitingSnapshot = true;
     void this.link.send({ kind: 'resync', reason });
   }
 
   private async reportRegularly(): Promise<void> {
-    while (await this.link.pause(REPORT_INTERVAL_MS)) this.report();
+    while (await this.link.pause(REPORT_INTERVAL_MS)) this.reportRevision();
   }
 }
--- a/src/control-stream/stream-broadcast.ts
+++ b/src/control-stream/stream-broadcast.ts
@@ -1,4 +1,7 @@
-/** What all subscribers of a controller are sent, encoded once, and the signal that there is more. */
+/**
+ * Frames that all subscribers of a controller share, each encoded once, and the
+ * notification of new ones.
+ */
 import { Notifier } from '../consensus/notifier.js';
 import type { ReplicatedLogStatus } from '../consensus/replicated-log.js';
 import type { Clock, Timer } from '../seams/clock.js';
@@ -6,91 +9,101 @@
 import type { ConfigurationFeed } from './configuration-feed.js';
 import type { ControlStreamFaults } from './control-stream-faults.js';
 import { EncodedHistory, type EncodedHistoryOptions } from './encoded-history.js';
-import type { SignBoard } from './sign-board.js';
+import type { LivenessReportTable } from './liveness-report-table.js';
 import { STREAM_CODEC } from './stream-messages.js';
 import { HEARTBEAT_INTERVAL_MS } from './stream-timing.js';
 
-/** Signs that come within this time go into one frame. Milliseconds. */
-const SIGN_BATCH_MS = 20;
+/** Replica reports recorded within this time are sent in one frame. Milliseconds. */
+const LIVENESS_REPORT_BATCH_MS = 20;
 
-/** How far one subscriber has been served. */
+/** How much of the broadcast one subscriber has been sent. */
 export interface BroadcastPosition {
   heldRevision: number;
-  signPosition: number;
+  livenessReportPosition: number;
   heartbeatNumber: number;
 }
 
-/** Shared by the tasks of all subscribers. */
+/** Serves the sessions of all subscribers of one controller. */
 export class StreamBroadcast {
   readonly history: EncodedHistory;
-  /** Notified whenever there is something new to send. */
-  readonly news: Notifier;
+  /** Notified whenever there is a new frame to send. */
+  readonly updates: Notifier;
   private readonly appliedAge: AppliedAge;
   private heartbeatFrame: Uint8Array = new Uint8Array();
   private heartbeatNumber = 0;
-  private signTimer: Timer | undefined;
+  private batchTimer: Timer | undefined;
 
   constructor(
     private readonly clock: Clock,
     feed: ConfigurationFeed,
     private readonly readStatus: () => ReplicatedLogStatus,
-    readonly signs: SignBoard,
+    readonly livenessReports: LivenessReportTable,
     faults: ControlStreamFaults,
     options?: EncodedHistoryOptions,
   ) {
-    this.news = new Notifier(clock);
+    this.updates = new Notifier(clock);
     this.appliedAge = new AppliedAge(faults);
-    this.history = new EncodedHistory(feed, () => this.news.notify(), options);
+    this.history = new EncodedHistory(feed, () => this.updates.notify(), options);
   }
 
-  /** How long ago this controller's state was known to be the agreed one. Milliseconds. */
+  /** How long ago this controller's state was last known to be up to date. Milliseconds. */
   get stateAge(): number {
     return this.appliedAge.read(this.readStatus(), this.clock.now());
   }
 
-  /** Writes heartbeats until `signal` aborts. */
+  /** Encodes a heartbeat at each interval until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.beat();
+      this.writeHeartbeat();
       await this.clock.sleep(HEARTBEAT_INTERVAL_MS, signal).catch(() => undefined);
     }
   }
 
   /**
-   * Everything a subscriber has not been sent, in the order in which it must
-   * arrive: a heartbeat follows the changes that it tells of. Moves `position` on.
+   * Returns all frames that a subscriber has not been sent, in the order in which
+   * they must arrive: a heartbeat follows the changes whose revision it states.
+   * Advances `position`.
    */
-  take(position: BroadcastPosition, zone: string): Uint8Array[] {
+  takeFrames(position: BroadcastPosition, zone: string): Uint8Array[] {
     const frames = [...this.history.framesAfter(position.heldRevision)];
     position.heldRevision = Math.max(position.heldRevision, this.history.revision);
-    const signFrame = this.signs.frameAfter(position.signPosition, zone);
-    position.signPosition = this.signs.position;
-    if (signFrame !== undefined) frames.push(signFrame);
+    const livenessReportFrame = this.livenessReports.frameAfter(
+      position.livenessReportPosition,
+      zone,
+    );
+    position.livenessReportPosition = this.livenessReports.position;
+    if (livenessReportFrame !== undefined) frames.push(livenessReportFrame);
     frames.push(...this.takeHeartbeat(position));
     return frames;
   }
 
-  /** The newest heartbeat, unless the subscriber was sent it. Moves `position` on. */
+  /**
+   * Returns the newest heartbeat unless the subscriber was already sent it.
+   * Advances `position`.
+   */
   takeHeartbeat(position: BroadcastPosition): Uint8Array[] {
     if (position.heartbeatNumber === this.heartbeatNumber) return [];
     position.heartbeatNumber = this.heartbeatNumber;
     return [this.heartbeatFrame];
   }
 
-  /** A sign was recorded: subscribers are woken soon, for all that come until then. */
-  noteSign(): void {
-    this.signTimer ??= this.clock.setTimer(SIGN_BATCH_MS, () => {
-      this.signTimer = undefined;
-      this.news.notify();
+  /**
+   * Must be called after a liveness report was recorded; notifies subscribers
+   * once per batch interval.
+   */
+  notifyAfterBatch(): void {
+    this.batchTimer ??= this.clock.setTimer(LIVENESS_REPORT_BATCH_MS, () => {
+      this.batchTimer = undefined;
+      this.updates.notify();
     });
   }
 
   dispose(): void {
-    this.signTimer?.cancel();
+    this.batchTimer?.cancel();
     this.history.dispose();
   }
 
-  private beat(): void {
+  private writeHeartbeat(): void {
     this.heartbeatFrame = STREAM_CODEC.encode({
       kind: 'heartbeat',
       committedRevision: this.history.revision,
@@ -99,6 +112,6 @@
       sourceTime: this.clock.now(),
     });
     this.heartbeatNumber += 1;
-    this.news.notify();
+    this.updates.notify();
   }
 }
--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -1,4 +1,7 @@
-/** The parts of a controller that hold its state, started and stopped together. */
+/**
+ * Starts and stops the stateful components of a controller together: the replicated log with its
+ * state machines, and the servers that read from them.
+ */
 import type { ControllerConfiguration } from '../configuration/controller-configuration.js';
 import type { RaftFaults } from '../consensus/raft-faults.js';
 import { RaftNode } from '../consensus/raft-node.js';
@@ -8,7 +11,7 @@
 import { ControlStreamServer } from '../control-stream/control-stream-server.js';
 import { ControllerExchange } from '../control-stream/controller-exchange.js';
 import { DaemonDirectory } from '../control-stream/daemon-directory.js';
-import { SignBoard } from '../control-stream/sign-board.js';
+import { LivenessReportTable } from '../control-stream/liveness-report-table.js';
 import { CONNECT_TIMEOUT_MS } from '../control-stream/stream-timing.js';
 import { EvacuationOrders } from '../evacuations/evacuation-orders.js';
 import { EvacuationRegister } from '../evacuations/evacuation-register.js';
@@ -29,7 +32,7 @@
 import type { MemberIdentity } from './member-identity.js';
 import { RegistrationPart, type RegistrationPartOptions } from './registration-part.js';
 
-/** What a core is started with. */
+/** Configuration and dependencies of {@link startControllerCore}. */
 export interface ControllerCoreOptions {
   readonly environment: DurableEnvironment;
   readonly configuration: ControllerConfiguration;
@@ -41,23 +44,27 @@
   readonly raftFaults: RaftFaults;
 }
 
-/** The running parts. */
+/** The running components. */
 export interface ControllerCore {
   readonly log: RaftNode;
   readonly machine: ConfigurationStateMachine;
   readonly daemons: DaemonDirectory;
-  readonly signs: SignBoard;
+  readonly livenessReports: LivenessReportTable;
   readonly server: ControlStreamServer;
   readonly exchange: ControllerExchange;
   readonly registration: RegistrationPart;
   readonly routeDocument: RouteDocumentRegister;
   readonly evacuationOrders: EvacuationOrders;
   readonly quarantineOrders: QuarantineOrders;
-  /** Absent where limits of tenants are not kept. */
+  /** Undefined when the configuration has no tenant quotas. */
   readonly quota: QuotaServer | undefined;
 }
 
-/** @throws DriftwayError when the data folder cannot be read. */
+/**
+ * Starts the log, the servers and the registration part, then restores the stored replicas.
+ *
+ * @throws DriftwayError when the data folder cannot be read.
+ */
 export async function startControllerCore(options: ControllerCoreOptions): Promise<ControllerCore> {
   const machine = new ConfigurationStateMachine();
   const register = new RouteDocumentRegister();
@@ -70,13 +77,14 @@
   ]);
   const traffic = new ZoneTraffic(options.configuration.zone, options.telemetry.registry);
   const log = await startLog(options, new SectionedStateMachine(machine, sections), traffic);
-  // Nothing is awaited between the log and what listens to the state machine.
+  // No await from here until every observer of the state machines is attached: they would miss
+  // entries that the log applies in between.
   const evacuationOrders = createEvacuationOrders(options, log, evacuations);
   const { logger } = options;
   const quarantineOrders = new QuarantineOrders({ log, register: quarantine, logger });
-  const replicated = { register, evacuations, evacuationOrders, quarantine, quarantineOrders };
-  const registered = { log, ...replicated };
-  const registration = startRegistration(options, registered, traffic);
+  const sectionState = { register, evacuations, evacuationOrders, quarantine, quarantineOrders };
+  const replicatedState = { log, ...sectionState };
+  const registration = startRegistration(options, replicatedState, traffic);
   const stream = startControlStream(options, log, machine);
   const quota = createQuotaServer(options, log, register);
   const parts = { log, machine, registration, evacuationOrders, quarantineOrders, quota };
@@ -85,7 +93,10 @@
   return core;
 }
 
-/** Leadership is handed over while the daemons already follow other controllers. */
+/**
+ * Stops the components. The control stream stops before the log, so that daemons already follow
+ * other controllers when leadership is transferred.
+ */
 export async function stopControllerCore(core: ControllerCore): Promise<void> {
   const { log, server, exchange, registration } = core;
   await registration.stop();
@@ -94,7 +105,10 @@
   await exchange.stop();
 }
 
-type ControlStreamParts = Pick<ControllerCore, 'daemons' | 'signs' | 'server' | 'exchange'>;
+type ControlStreamParts = Pick<
+  ControllerCore,
+  'daemons' | 'livenessReports' | 'server' | 'exchange'
+>;
 
 function startControlStream(
   { environment, identity, telemetry, faults }: ControllerCoreOptions,
@@ -103,19 +117,36 @@
 ): ControlStreamParts {
   const { clock } = environment;
   const daemons = new DaemonDirectory(clock, faults);
-  const signs = new SignBoard(faults);
+  const livenessReports = new LivenessReportTable(faults);
   const onNews = (): void => exchange.notify();
   const server = new ControlStreamServer(
-    { clock, memberId: identity.name, feed: machine, log, daemons, signs, onNews, faults },
+    {
+      clock,
+      memberId: identity.name,
+      feed: machine,
+      log,
+      daemons,
+      livenessReports: livenessReports,
+      onUpdate: onNews,
+      faults,
+    },
     telemetry,
   );
   const readMembers = (): readonly ReplicatedLogMember[] => log.status().members;
   const onSigns = (): void => server.notify();
   const exchange = new ControllerExchange(
-    { environment, identity, readMembers, daemons, signs, onSigns, faults },
+    {
+      environment,
+      identity,
+      readMembers,
+      daemons,
+      livenessReports: livenessReports,
+      onLivenessReports: onSigns,
+      faults,
+    },
     telemetry,
   );
-  return { daemons, signs, server, exchange };
+  return { daemons, livenessReports, server, exchange };
 }
 
 function createEvacuationOrders(
@@ -144,15 +175,15 @@
   });
 }
 
-/** The replicated state that registrations go with. */
-type ReplicatedParts = Pick<
+/** Replicated log, registers and orders that the registration part works on. */
+type ReplicatedState = Pick<
   RegistrationPartOptions,
   'log' | 'register' | 'evacuations' | 'evacuationOrders' | 'quarantine' | 'quarantineOrders'
 >;
 
 function startRegistration(
   { environment, identity, configuration, logger, telemetry, faults }: ControllerCoreOptions,
-  state: ReplicatedParts,
+  state: ReplicatedState,
   traffic: ZoneTraffic,
 ): RegistrationPart {
   const { automaticMembership, listen, zone, directory } = configuration;
@@ -173,8 +204,8 @@
   });
 }
 
-/** Members of the log do not know each other's zones. */
-function metered(connection: MessageConnection, traffic: ZoneTraffic): MessageConnection {
+/** Counts consensus traffic without a zone: log members do not know each other's zones. */
+function meterConnection(connection: MessageConnection, traffic: ZoneTraffic): MessageConnection {
   return new MeteredConnection(connection, {
     kindOf: () => 'consensus',
     note: (note) => traffic.note('', note),
@@ -203,7 +234,7 @@
       },
       dial: async (peer) => {
         const target = { ...peer, role: 'consensus', connectTimeout: CONNECT_TIMEOUT_MS } as const;
-        return metered(await dial(environment, identity, target), traffic);
+        return meterConnection(await dial(environment, identity, target), traffic);
       },
       faults: raftFaults,
     },
--- a/src/control/controller-readiness.ts
+++ b/src/control/controller-readiness.ts
@@ -1,29 +1,33 @@
-/** Whether a controller can be of use to operators and daemons. */
+/** Readiness check: whether a controller can serve operators and daemons. */
 import { QUORUM_LEASE_MS } from '../control-stream/stream-timing.js';
 
-/** For `/readyz`. */
+/** Response body of `/readyz`. */
 export interface Readiness {
   readonly ready: boolean;
-  /** Why not. */
+  /** Why the controller is not ready; absent when it is. */
   readonly reason?: string;
 }
 
-/** Ages are in milliseconds. */
-export interface ReadinessFacts {
+/** State of a controller from which its readiness follows. */
+export interface ReadinessInputs {
   readonly stopping: boolean;
-  /** Since a quorum was heard. */
+  /** Time since a quorum was last heard, directly or through the leader. */
   readonly sinceQuorumMs: number;
-  /** Since the state here was known to be the agreed one. */
-  readonly stateAge: number;
+  /** Time since the local state was last known to hold everything committed. */
+  readonly stateAgeMs: number;
 }
 
-/** The first reason that holds. */
-export function judgeReadiness({ stopping, sinceQuorumMs, stateAge }: ReadinessFacts): Readiness {
+/** Reports the first reason that applies; in order: stopping, no quorum, outdated state. */
+export function evaluateReadiness({
+  stopping,
+  sinceQuorumMs,
+  stateAgeMs,
+}: ReadinessInputs): Readiness {
   if (stopping) return { ready: false, reason: 'stopping' };
   if (sinceQuorumMs > QUORUM_LEASE_MS) {
     return { ready: false, reason: `no quorum heard for ${Math.round(sinceQuorumMs)} ms` };
   }
-  if (stateAge <= QUORUM_LEASE_MS) return { ready: true };
-  const reason = `lacks what was committed ${Math.round(stateAge)} ms ago; is the disk slow?`;
+  if (stateAgeMs <= QUORUM_LEASE_MS) return { ready: true };
+  const reason = `lacks what was committed ${Math.round(stateAgeMs)} ms ago; is the disk slow?`;
   return { ready: false, reason };
 }
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -1,11 +1,15 @@
 /**
- * Reads the platform's list of machines at a fixed interval and notes what it
- * says of each replica. Only stated states count: a machine that is missing
- * from the list may be one that a lagging or restarted list does not know yet.
+ * Polls the platform's machine list at a fixed interval and records the listed state of each
+ * replica. Only listed states count: a machine that is missing from the list may be one that a
+ * lagging or restarted list does not know yet.
  */
 import { Counter } from 'prom-client';
 import * as z from 'zod';
-import { EVERYWHERE, PLATFORM_OBSERVER, type SignBoard } from '../control-stream/sign-board.js';
+import {
+  ALL_ZONES,
+  PLATFORM_OBSERVER,
+  type LivenessReportTable,
+} from '../control-stream/liveness-report-table.js';
 import { nameSchema } from '../model/service-definition.js';
 import {
   EntrySource,
@@ -17,10 +21,8 @@
 import type { Environment } from '../seams/environment.js';
 import type { HttpClient } from '../seams/http.js';
 
-/** Path of the list. */
 const MACHINES_PATH = '/machines';
 
-/** Milliseconds. */
 const POLL_INTERVAL_MS = 1_000;
 const POLL_TIMEOUT_MS = 2_000;
 
@@ -31,7 +33,7 @@
   keepAliveTimeout: 10_000,
 };
 
-/** A longer list is not taken. */
+/** A list with more items is rejected as malformed. */
 const MAXIMUM_MACHINES = 100_000;
 
 const machineSchema = z.object({
@@ -41,7 +43,10 @@
 });
 type Machine = z.infer<typeof machineSchema>;
 
-/** Polls until stopped. */
+/**
+ * Polls from construction until stopped, and calls `onNewReports` after a poll that changed a
+ * state.
+ */
 export class PlatformListPoller {
   private readonly client: HttpClient;
   private readonly stopped = new AbortController();
@@ -51,15 +56,15 @@
   constructor(
     private readonly environment: Environment,
     address: Address,
-    private readonly signs: SignBoard,
-    private readonly onSigns: () => void,
+    private readonly livenessReports: LivenessReportTable,
+    private readonly onNewReports: () => void,
     private readonly unusable: UnusableEntries,
     telemetry: Telemetry,
   ) {
     this.client = environment.network.httpClient(address, CLIENT_OPTIONS);
     this.polls = new Counter({
       name: 'driftway_platform_list_polls_total',
-      help: "Readings of the platform's list of machines, by outcome.",
+      help: "Polls of the platform's machine list, by outcome.",
       labelNames: ['outcome'],
       registers: [telemetry.registry],
     });
@@ -82,23 +87,24 @@
   }
 
   private async poll(): Promise<'read' | 'failed' | 'malformed'> {
-    const body = await this.fetch();
+    const body = await this.fetchList();
     if (body === undefined) return 'failed';
-    const machines = parseMachines(body);
+    const machines = parseList(body);
     if (machines === undefined) return 'malformed';
-    let news = false;
+    let hasNewReports = false;
     for (const item of machines) {
-      const machine = this.readMachine(item);
+      const machine = this.parseMachine(item);
       if (machine === undefined) continue;
       const sign = { ...machine, observedBy: PLATFORM_OBSERVER };
-      news = this.signs.record({ scope: EVERYWHERE, sign }) || news;
+      hasNewReports =
+        this.livenessReports.record({ scope: ALL_ZONES, report: sign }) || hasNewReports;
     }
-    if (news) this.onSigns();
+    if (hasNewReports) this.onNewReports();
     return 'read';
   }
 
-  /** An item that cannot be used names no machine; the others of the list hold. */
-  private readMachine(item: unknown): Machine | undefined {
+  /** Returns undefined for an unusable item, which is counted; the rest of the list stays valid. */
+  private parseMachine(item: unknown): Machine | undefined {
     const parsed = machineSchema.safeParse(item);
     if (parsed.success) return parsed.data;
     const field = String(parsed.error.issues[0]?.path[0] ?? 'item');
@@ -107,7 +113,7 @@
     return undefined;
   }
 
-  private async fetch(): Promise<Uint8Array | undefined> {
+  private async fetchList(): Promise<Uint8Array | undefined> {
     const timeout = new AbortController();
     const timer = this.environment.clock.setTimer(POLL_TIMEOUT_MS, () => {
       timeout.abort(new Error('timeout'));
@@ -128,7 +134,7 @@
   }
 }
 
-function parseMachines(body: Uint8Array): readonly unknown[] | undefined {
+function parseList(body: Uint8Array): readonly unknown[] | undefined {
   try {
     const document: unknown = JSON.parse(Buffer.from(body).toString('utf8'));
     const isList = Array.isArray(document) && document.length <= MAXIMUM_MACHINES;
--- a/src/control/quarantine-endpoint.ts
+++ b/src/control/quarantine-endpoint.ts
@@ -1,14 +1,16 @@
 /**
- * The calls by which an operator of the platform sees which requests are suspected or refused
- * because replicas end under them, and lifts that: `/v1/quarantine`, `/v1/quarantine/{fingerprint}`.
+ * Unauthenticated HTTP endpoint for quarantined requests: lists the requests that are suspected or
+ * refused because replicas terminate while executing them (`/v1/quarantine`), and lifts the
+ * quarantine of one (`/v1/quarantine/{fingerprint}`).
  */
 import { UnknownFingerprintError, type QuarantineOrders } from '../quarantine/quarantine-orders.js';
 import type { HttpRequest, HttpResponse } from '../seams/http.js';
 import { errorResponse, jsonResponse, proposalErrorResponse } from './json-response.js';
 
+/** Path of the list; the path of one request appends its fingerprint. */
 export const QUARANTINE_PATH = '/v1/quarantine';
 
-/** See the module comment. */
+/** A quarantine is durably lifted when DELETE responds with 200; lists are linearizable reads. */
 export class QuarantineEndpoint {
   constructor(private readonly orders: QuarantineOrders) {}
 
@@ -26,9 +28,9 @@
       return jsonResponse(200, { fingerprint, lifted: true });
     } catch (error) {
       if (error instanceof UnknownFingerprintError) return errorResponse(404, error.message);
-      const answer = proposalErrorResponse(error);
-      if (answer === undefined) throw error;
-      return answer;
+      const response = proposalErrorResponse(error);
+      if (response === undefined) throw error;
+      return response;
     }
   }
 
--- a/src/directory/directory-server.ts
+++ b/src/directory/directory-server.ts
@@ -1,4 +1,4 @@
-/** The controller's end of the directory stream: tells subscribers what changed and hears what they hold. */
+/** The controller's end of the directory stream: sends changes to subscribers and tracks what they confirm. */
 import type { Registry } from 'prom-client';
 import { Notifier } from '../consensus/notifier.js';
 import { SilenceGuard } from '../control-stream/silence-guard.js';
@@ -18,10 +18,10 @@
 import type { KnownGateway } from './leaf-gateway.js';
 import { BATCH_INTERVAL_MS, STATUS_INTERVAL_MS, STREAM_SILENCE_MS } from './directory-timing.js';
 
-/** Most messages of one frame, which keeps it far below the longest frame. */
+/** Most messages in one frame; keeps frames far below the maximum frame length. */
 const MESSAGES_PER_FRAME = 2_000;
 
-/** What subscribers are told, besides what the server knows of them. */
+/** Data and callbacks of the server; it adds what it knows of its subscribers itself. */
 export interface DirectoryServerSources extends Pick<
   DirectorySessionSources,
   | 'clock'
@@ -33,38 +33,38 @@
   | 'ageMs'
   | 'ownZone'
 > {
-  /** Whether long frames to subscribers of other zones are compressed. */
+  /** Whether long frames to subscribers in other zones are compressed. */
   readonly compressBetweenZones: boolean;
   readonly members: () => readonly DirectoryMember[];
-  /** This controller. */
+  /** Name of this controller. */
   readonly ownName: string;
   readonly registry: Registry;
-  /** Gateways that follow other controllers, as those say. */
+  /** Gateways that follow other controllers, as reported by those controllers. */
   readonly otherGateways: () => readonly KnownGateway[];
-  /** A subscriber sent what cannot be read; its stream ends. */
+  /** Called when a subscriber sends an unreadable frame; its stream is closed. */
   readonly onUnreadable: (subscriber: string) => void;
-  /** A gateway saw replicas end under a request, or an answer to it. */
+  /** Called when a gateway reports crash evidence: replicas that ended under a request, or a reply to it. */
   readonly onCrashEvidence: (change: QuarantineChange) => void;
-  /** Answers gateways that ask which route document is in force. */
+  /** Answers gateways that ask which route document version is in force. */
   readonly confirmer: VersionConfirmer;
 }
 
-/** Who confirmed a position. */
+/** Which subscribers have confirmed a position. */
 export interface Confirmation {
-  /** Names of the controllers that hold it, besides this one. */
+  /** Names of the other controllers that have confirmed the position. */
   readonly controllers: ReadonlySet<string>;
-  /** Gateways that follow this controller and do not hold it yet. */
+  /** Number of gateways that follow this controller and have not confirmed the position. */
   readonly gatewaysMissing: number;
-  /** Controllers that follow this one and whose gateways do not all hold it yet. */
+  /** Number of controllers that follow this one and have gateways yet to confirm the position. */
   readonly relaysMissing: number;
 }
 
-/** See the module comment. */
+/** Keeps one {@link DirectorySession} for each connected subscriber. */
 export class DirectoryServer {
   private readonly sessions = new Set<DirectorySession>();
   private readonly roster: GatewayRoster;
-  private readonly news: Notifier;
-  private readonly confirmations: Notifier;
+  private readonly updateNotifier: Notifier;
+  private readonly confirmationNotifier: Notifier;
   private readonly sessionSources: DirectorySessionSources;
   private readonly metrics: DirectoryMetrics;
   private readonly controllers: ControllerRoster;
@@ -79,7 +79,7 @@
     this.sessionSources = {
       ...sources,
       controllers: () => this.controllers.all(),
-      isFirstFor: (gateway) => this.controllers.isFirstFor(gateway),
+      isPreferredFor: (gateway) => this.controllers.isPreferredFor(gateway),
       gatewaysFor: (kind) =>
         kind === SubscriberKind.Controller ? this.roster.own : this.roster.leaves,
     };
@@ -87,18 +87,18 @@
       ...sources,
       connected: () => this.subscribersOf(SubscriberKind.Controller),
     });
-    this.news = new Notifier(sources.clock);
-    this.confirmations = new Notifier(sources.clock);
+    this.updateNotifier = new Notifier(sources.clock);
+    this.confirmationNotifier = new Notifier(sources.clock);
     this.metrics = new DirectoryMetrics(sources.registry, {
       routeVersion: () => sources.document()?.version,
       lackingMs: () => this.gatewayRoutes().flatMap(({ lackingMs }) => lackingMs ?? []),
     });
   }
 
-  /** How far the gateways that follow this controller are with its route document. */
+  /** Returns the route document state of each gateway that follows this controller. */
   gatewayRoutes(): GatewayRoutes[] {
     const byGateway = new Map<string, GatewayRoutes>();
-    // Of two streams of a gateway the later one counts: the other is about to be closed.
+    // If a gateway has two streams, the later one counts: the earlier one is about to close.
     for (const session of this.sessions) {
       if (session.kind !== SubscriberKind.Gateway) continue;
       byGateway.set(session.name, this.routesOf(session));
@@ -106,42 +106,46 @@
     return [...byGateway.values()];
   }
 
-  /** Something may have changed that subscribers are told. */
+  /** Wakes the senders after a change that subscribers may have to receive. */
   notify(): void {
-    this.news.notify();
+    this.updateNotifier.notify();
   }
 
-  /** A replica's heartbeat came to this controller. */
-  noteHeard(replicaId: string): void {
+  /** Records a heartbeat that a replica sent to this controller, for the next frame to the others. */
+  recordHeartbeat(replicaId: string): void {
     for (const session of this.sessions) {
-      if (session.kind === SubscriberKind.Controller) session.heard.add(replicaId);
+      if (session.kind === SubscriberKind.Controller) session.pendingHeartbeats.add(replicaId);
     }
   }
 
-  /** Waits until `isEnough` of the confirmations of `position`, or `milliseconds` have passed. */
-  async waitConfirmed(
+  /**
+   * Waits until `isEnough` accepts the confirmations of `position`. Returns false if that takes
+   * longer than `timeoutMs`.
+   */
+  async waitForConfirmations(
     position: number,
-    milliseconds: number,
+    timeoutMs: number,
     isEnough: (confirmation: Confirmation) => boolean,
   ): Promise<boolean> {
     const { clock } = this.sources;
-    const deadline = clock.now() + milliseconds;
+    const deadline = clock.now() + timeoutMs;
     while (!isEnough(this.confirmation(position))) {
-      const rest = deadline - clock.now();
-      if (rest <= 0) return false;
-      await this.confirmations.wait(rest);
+      const remainingMs = deadline - clock.now();
+      if (remainingMs <= 0) return false;
+      await this.confirmationNotifier.wait(remainingMs);
     }
     return true;
   }
 
+  /** Returns which subscribers have confirmed `position` so far. */
   confirmation(position: number): Confirmation {
     const controllers = new Set<string>();
     let gatewaysMissing = 0;
     let relaysMissing = 0;
     for (const { name, kind, confirmedPosition, relayedPosition } of this.sessions) {
-      const holds = confirmedPosition >= position;
-      if (kind === SubscriberKind.Controller && holds) controllers.add(name);
-      if (kind === SubscriberKind.Gateway && !holds) gatewaysMissing += 1;
+      const hasConfirmed = confirmedPosition >= position;
+      if (kind === SubscriberKind.Controller && hasConfirmed) controllers.add(name);
+      if (kind === SubscriberKind.Gateway && !hasConfirmed) gatewaysMissing += 1;
       if (kind === SubscriberKind.Controller && relayedPosition < position) relaysMissing += 1;
     }
     return { controllers, gatewaysMissing, relaysMissing };
@@ -156,17 +160,17 @@
     void guard.run();
     void this.receiveConfirmations(connection, session, guard);
     try {
-      await this.sendNews(connection, session);
+      await this.sendUpdates(connection, session);
     } finally {
       this.sessions.delete(session);
-      this.confirmations.notify();
+      this.confirmationNotifier.notify();
     }
   }
 
-  /** Tells every subscriber that this controller is about to stop. */
+  /** Announces to every subscriber that this controller is about to stop. */
   stop(): void {
     this.stopping = true;
-    this.news.notify();
+    this.updateNotifier.notify();
   }
 
   private async tryOpen(
@@ -176,7 +180,7 @@
     try {
       return await this.open(connection, peer);
     } catch (error) {
-      // A connection that broke before it subscribed needs no more than to be closed.
+      // A connection that broke before it subscribed only has to be closed.
       if (isProtocolViolation(error)) this.sources.onUnreadable(peer.name);
       return undefined;
     }
@@ -193,10 +197,10 @@
     const isController = message.subscriberKind === SubscriberKind.Controller.valueOf();
     const kind = isController ? SubscriberKind.Controller : SubscriberKind.Gateway;
     const { zone, gatherAddress: address } = message;
-    if (isController) this.controllers.noteConnected(name, zone);
-    const isFar = zone !== this.sources.ownZone;
-    const isUnderstood = protocolVersion >= COMPRESSION_SINCE_VERSION;
-    const isCompressed = this.sources.compressBetweenZones && isFar && isUnderstood;
+    if (isController) this.controllers.recordConnected(name, zone);
+    const isInOtherZone = zone !== this.sources.ownZone;
+    const supportsCompression = protocolVersion >= COMPRESSION_SINCE_VERSION;
+    const isCompressed = this.sources.compressBetweenZones && isInOtherZone && supportsCompression;
     return new DirectorySession(kind, { name, zone, address }, isCompressed);
   }
 
@@ -217,30 +221,36 @@
     return { gateway, zone, version, lackingMs, owedBy: this.controllers.responsibleFor(zone) };
   }
 
-  private async sendNews(connection: MessageConnection, session: DirectorySession): Promise<void> {
+  private async sendUpdates(
+    connection: MessageConnection,
+    session: DirectorySession,
+  ): Promise<void> {
     const { clock } = this.sources;
     let isOpen = true;
     void connection.closed.then(() => {
       isOpen = false;
-      this.news.notify();
+      this.updateNotifier.notify();
     });
     while (isOpen) {
-      const messages = this.takeNews(session);
+      const messages = this.takeUpdates(session);
       const documentDueInMs = session.documentDueInMs(this.sessionSources);
-      const news = this.news.wait(Math.min(STATUS_INTERVAL_MS, documentDueInMs));
+      const nextUpdate = this.updateNotifier.wait(Math.min(STATUS_INTERVAL_MS, documentDueInMs));
       await this.sendFrames(connection, messages, session);
-      await news;
+      await nextUpdate;
       if (isOpen) await clock.sleep(BATCH_INTERVAL_MS);
     }
   }
 
-  private takeNews(session: DirectorySession): DirectoryMessage[] {
-    const messages = session.takeNews(this.sessionSources);
+  private takeUpdates(session: DirectorySession): DirectoryMessage[] {
+    const messages = session.takeUpdates(this.sessionSources);
     this.countDocuments(session, messages);
     return messages;
   }
 
-  /** `messages` tell up to the `position`, which is read before anything is awaited. */
+  /**
+   * Sends `messages`, which contain all changes up to `position`. The position is read before the
+   * first await, since the session may move on meanwhile.
+   */
   private async sendFrames(
     connection: MessageConnection,
     messages: readonly DirectoryMessage[],
@@ -251,7 +261,7 @@
       const batch = messages.slice(start, start + MESSAGES_PER_FRAME);
       start += MESSAGES_PER_FRAME;
       const isLast = start >= messages.length;
-      // Only the last frame says that all is told up to the position.
+      // Only the last frame carries the position: the earlier ones do not contain all changes.
       batch.push(this.status(isLast ? position : 0));
       const frame = DIRECTORY_CODEC.encodeBatch(batch);
       await connection.send(isCompressed ? compressFrame(frame) : frame);
@@ -262,8 +272,8 @@
     { subscriber }: DirectorySession,
     messages: readonly DirectoryMessage[],
   ): void {
-    const isNear = subscriber.zone === this.sources.ownZone;
-    const place = isNear ? SubscriberPlace.OwnZone : SubscriberPlace.OtherZone;
+    const isInOwnZone = subscriber.zone === this.sources.ownZone;
+    const place = isInOwnZone ? SubscriberPlace.OwnZone : SubscriberPlace.OtherZone;
     for (const message of messages) {
       if (message.kind !== 'document') continue;
       this.metrics.documents.inc({ place });
@@ -286,35 +296,35 @@
       for (;;) {
         const frame = await connection.receive();
         if (frame === undefined) break;
-        guard.heard();
+        guard.recordReceived();
         const message = DIRECTORY_CODEC.decode(frame, session.name);
-        this.takeConfirmation(session, message);
+        this.handleMessage(session, message);
         if (message.kind === 'confirmVersion') this.confirmVersion(connection, message.number);
       }
     } catch (error) {
-      // Broken, or not a confirmation: the stream is no use any more.
+      // The connection broke or sent an unreadable frame: the stream is closed.
       if (isProtocolViolation(error)) this.sources.onUnreadable(session.name);
     }
     connection.close();
   }
 
-  /** Sent at once, as the gateway's lease counts from when it asked. */
+  /** Responds without batching, because the gateway's lease starts when it sent the request. */
   private confirmVersion(connection: MessageConnection, number: number): void {
-    this.sources.confirmer.ask(number, (confirmed) => {
-      // A connection that broke is noticed by the task that reads it.
+    this.sources.confirmer.requestConfirmation(number, (confirmed) => {
+      // The receiving task detects a broken connection.
       void connection.send(DIRECTORY_CODEC.encode(confirmed)).catch(() => undefined);
     });
   }
 
-  private takeConfirmation(session: DirectorySession, message: DirectoryMessage): void {
+  private handleMessage(session: DirectorySession, message: DirectoryMessage): void {
     if (message.kind === 'crashEvidence') this.sources.onCrashEvidence(quarantineChange(message));
     if (message.kind === 'relayed') {
       session.relayedPosition = Math.max(session.relayedPosition, message.position);
-      this.confirmations.notify();
+      this.confirmationNotifier.notify();
     }
     if (message.kind !== 'confirm') return;
     session.confirmedPosition = Math.max(session.confirmedPosition, message.position);
     session.confirmedDocumentVersion = message.documentVersion;
-    this.confirmations.notify();
+    this.confirmationNotifier.notify();
   }
 }
--- a/src/membership/replica-record.ts
+++ b/src/membership/replica-record.ts
@@ -1,6 +1,6 @@
-/** All that this router knows of one replica. */
+/** What a router knows about one replica. */
 import type { BackendReport } from '../model/backend-protocol.js';
-import { supersedes, type ReplicaSign } from '../model/replica-sign.js';
+import { supersedes, type LivenessReport } from '../model/liveness-report.js';
 import type { ReplicaDefinition } from '../model/service-definition.js';
 import type { ReplicaProcess } from '../policies/outlier-ejection.js';
 import type { ReplicaView } from '../policies/replica-selector.js';
@@ -9,20 +9,22 @@
 import type { ReplicaChannel } from './replica-channel.js';
 import { SmoothedValue } from './smoothed-value.js';
 
+/** Weight of a new sample in the average latency, 0 to 1. */
 const LATENCY_WEIGHT = 0.2;
+/** Weight of a new attempt in the failure rate, 0 to 1. */
 const FAILURE_WEIGHT = 0.1;
-/** Reports missed in a row before a replica is tried only as a last resort. */
+/** Consecutive missed reports after which a replica is used only as a last resort. */
 export const SUSPECT_AFTER_MISSED_REPORTS = 3;
 
-/** One replica in one router. Methods that may change what can be sent to it say whether they did. */
+/** Methods that may change which requests can be sent to the replica return whether they did. */
 export class ReplicaRecord implements ReplicaView {
   private attemptsInFlight = 0;
   private readonly roomWaiters = new Set<() => void>();
   private readonly latency = new SmoothedValue(LATENCY_WEIGHT);
   private readonly failures = new SmoothedValue(FAILURE_WEIGHT);
   private readonly snapshots = new HeldSnapshots();
-  private sign: ReplicaSign | undefined;
-  private firstSeen: number;
+  private livenessReport: LivenessReport | undefined;
+  private firstSeenAt: number;
   private missedReports = 0;
   private lastLoad: { readonly load: number; readonly at: number } | undefined;
 
@@ -30,10 +32,10 @@
     readonly replica: ReplicaDefinition,
     readonly channel: ReplicaChannel,
     private readonly clock: Clock,
-    knownSign?: ReplicaSign,
+    lastLivenessReport?: LivenessReport,
   ) {
-    this.sign = knownSign;
-    this.firstSeen = clock.now();
+    this.livenessReport = lastLivenessReport;
+    this.firstSeenAt = clock.now();
   }
 
   get inFlight(): number {
@@ -54,24 +56,24 @@
   }
 
   get age(): number {
-    return this.clock.now() - this.firstSeen;
+    return this.clock.now() - this.firstSeenAt;
   }
 
-  get knownSign(): ReplicaSign | undefined {
-    return this.sign;
+  get lastLivenessReport(): LivenessReport | undefined {
+    return this.livenessReport;
   }
 
-  /** The process that answers now, as far as is known. */
+  /** The last known process of the replica. */
   get process(): ReplicaProcess {
-    return { replicaId: this.replica.replicaId, incarnation: this.sign?.incarnation };
+    return { replicaId: this.replica.replicaId, incarnation: this.livenessReport?.incarnation };
   }
 
-  /** False once any sign of this incarnation said it is draining or gone. */
+  /** False once a liveness report of this incarnation says that it is draining or gone. */
   get isLive(): boolean {
-    return this.sign === undefined || this.sign.state === 'live';
+    return this.livenessReport === undefined || this.livenessReport.state === 'live';
   }
 
-  /** True while its reports do not arrive; one missed report is not enough. */
+  /** True while reports do not arrive; one missed report is not enough. */
   get isSuspect(): boolean {
     return this.missedReports >= SUSPECT_AFTER_MISSED_REPORTS;
   }
@@ -92,14 +94,17 @@
     this.attemptsInFlight += 1;
   }
 
-  /** Frees the attempt's connection and wakes the first that waits for one. */
+  /** Frees the attempt's connection and wakes the first waiter. */
   endAttempt(): void {
     this.attemptsInFlight -= 1;
     const [first] = this.roomWaiters;
     if (first !== undefined) first();
   }
 
-  /** Calls `wake` when an attempt ends or what may be sent here has changed, until {@link unregisterRoomWaiter}. */
+  /**
+   * Calls `wake` when an attempt ends or the requests that may be sent to the replica change, until
+   * {@link unregisterRoomWaiter}.
+   */
   registerRoomWaiter(wake: () => void): void {
     this.roomWaiters.add(wake);
   }
@@ -108,29 +113,30 @@
     this.roomWaiters.delete(wake);
   }
 
-  /** Takes a sign over unless something newer is known; true when it was news. */
-  applySign(sign: ReplicaSign): boolean {
-    const known = this.sign;
-    if (known !== undefined && !supersedes(sign, known)) return false;
-    this.sign = sign;
-    if (known !== undefined && known.incarnation !== sign.incarnation) this.beginIncarnation();
+  /** Applies a liveness report unless a newer one is known; returns true if it was applied. */
+  applyLivenessReport(report: LivenessReport): boolean {
+    const known = this.livenessReport;
+    if (known !== undefined && !supersedes(report, known)) return false;
+    this.livenessReport = report;
+    if (known !== undefined && known.incarnation !== report.incarnation) this.beginIncarnation();
     this.wakeRoomWaiters();
     return true;
   }
 
-  /** Takes a report over, unless it is of an earlier incarnation than the one known. */
+  /** Applies a report, unless it is of an earlier incarnation than the known one. */
   applyReport(report: BackendReport): boolean {
-    const suspectBefore = this.isSuspect;
+    const wasSuspect = this.isSuspect;
     this.missedReports = 0;
-    if (this.sign !== undefined && report.incarnation < this.sign.incarnation) return suspectBefore;
+    if (this.livenessReport !== undefined && report.incarnation < this.livenessReport.incarnation)
+      return wasSuspect;
     this.recordLoad(report.load);
-    const isNews = this.snapshots.replace(report.snapshots, this.clock.now());
-    if (isNews || suspectBefore) this.wakeRoomWaiters();
-    return isNews || suspectBefore;
+    const haveSnapshotsChanged = this.snapshots.replace(report.snapshots, this.clock.now());
+    if (haveSnapshotsChanged || wasSuspect) this.wakeRoomWaiters();
+    return haveSnapshotsChanged || wasSuspect;
   }
 
-  /** A report did not arrive; true when the replica became suspect by it. */
-  missReport(): boolean {
+  /** Records a missed report; returns true if it makes the replica suspect. */
+  recordMissedReport(): boolean {
     this.missedReports += 1;
     if (this.missedReports !== SUSPECT_AFTER_MISSED_REPORTS) return false;
     this.wakeRoomWaiters();
@@ -148,8 +154,8 @@
   }
 
   /**
-   * An attempt was given up after `elapsed` milliseconds. That is a lower bound
-   * of its latency, so it tells something only where it exceeds what is known.
+   * Records an attempt that was abandoned after `elapsed` milliseconds. This is a lower bound of its
+   * latency, so it counts only if it exceeds the average.
    */
   recordUnfinished(elapsed: number): void {
     if (elapsed > (this.latency.value ?? 0)) this.latency.add(elapsed);
@@ -160,12 +166,12 @@
   }
 
   recordSnapshotNotHeld(snapshot: string): boolean {
-    const isNews = this.snapshots.deny(snapshot, this.clock.now());
-    if (isNews) this.wakeRoomWaiters();
-    return isNews;
+    const haveSnapshotsChanged = this.snapshots.deny(snapshot, this.clock.now());
+    if (haveSnapshotsChanged) this.wakeRoomWaiters();
+    return haveSnapshotsChanged;
   }
 
-  /** What may be sent to it has changed, so everyone who waits for it looks again. */
+  /** Wakes all waiters, since the requests that may be sent to the replica have changed. */
   private wakeRoomWaiters(): void {
     for (const wake of [...this.roomWaiters]) wake();
   }
@@ -175,6 +181,6 @@
     this.latency.reset();
     this.failures.reset();
     this.lastLoad = undefined;
-    this.firstSeen = this.clock.now();
+    this.firstSeenAt = this.clock.now();
   }
 }
--- a/src/model/replica-sign.ts
+++ b/src/model/liveness-report.ts
@@ -11,7 +11,7 @@
 };
 
 /** One observation that a replica is live, draining or gone, called a sign. */
-export interface ReplicaSign {
+export interface LivenessReport {
   readonly replicaId: string;
   /** Incarnation of the back-end process. A larger one supersedes all signs of smaller ones. */
   readonly incarnation: number;
@@ -21,7 +21,7 @@
 }
 
 /** Whether `candidate` is newer than `known`; both are signs of the same replica. */
-export function supersedes(candidate: ReplicaSign, known: ReplicaSign): boolean {
+export function supersedes(candidate: LivenessReport, known: LivenessReport): boolean {
   if (candidate.incarnation !== known.incarnation) {
     return candidate.incarnation > known.incarnation;
   }
--- a/test/control-stream/controller-fixture.ts
+++ b/test/control-stream/controller-fixture.ts
@@ -1,7 +1,7 @@
 /**
- * A controller's stream in the simulation, over a log whose quorum the test
- * takes away and gives back. What is accepted at one controller reaches the
- * others when the test says so.
+ * A simulated controller's end of the control stream, without consensus. The
+ * test removes and restores the quorum of its log, and applies each change to
+ * every controller that is to have it.
  */
 import { Registry } from 'prom-client';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
@@ -11,7 +11,7 @@
 import { ControllerExchange } from '../../src/control-stream/controller-exchange.js';
 import { DaemonDirectory } from '../../src/control-stream/daemon-directory.js';
 import type { EncodedHistoryOptions } from '../../src/control-stream/encoded-history.js';
-import { SignBoard } from '../../src/control-stream/sign-board.js';
+import { LivenessReportTable } from '../../src/control-stream/liveness-report-table.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import { AuthenticatedListener } from '../../src/protocol/authenticated-listener.js';
 import { formatAddress } from '../../src/seams/address.js';
@@ -21,7 +21,7 @@
 export const CLUSTER = { id: 'dohoku', key: 'a-long-random-secret' };
 const MESSAGE_PORT = 7500;
 
-/** The command that makes revision `revision`, with a value told apart from any other's. */
+/** The command that produces `revision`; by default its value is unique to the revision. */
 export function changeCommand(revision: number, value = revision): Uint8Array {
   return encodeCommand({
     kind: 'change',
@@ -37,10 +37,10 @@
   });
 }
 
-/** A log without peers of its own; the test says whether it hears a quorum. */
+/** A log without peers; the test determines whether it has a quorum. */
 class TestLog {
   members: { memberId: string; address: string; voter: boolean }[] = [];
-  /** Whether reads wait for a quorum without end, as they do while a leader is cut off. */
+  /** Whether read barriers never settle, as while the leader is partitioned from the others. */
   readsHang = false;
   private quorumLostAt: number | undefined;
 
@@ -80,12 +80,12 @@
   }
 }
 
-/** One controller without consensus. */
+/** One controller: stream server, exchange and listener over a {@link TestLog}. */
 export class TestController {
   readonly machine: ConfigurationStateMachine;
   readonly log: TestLog;
   readonly daemons: DaemonDirectory;
-  readonly signs = new SignBoard();
+  readonly livenessReports = new LivenessReportTable();
   readonly registry = new Registry();
   server!: ControlStreamServer;
   exchange!: ControllerExchange;
@@ -116,13 +116,13 @@
     return { memberId: this.host.name, address: this.listener.address, zone: this.host.zone };
   }
 
-  /** Accepts one revision whose content no other controller has. */
+  /** Accepts the next revision with content that differs from the other controllers'. */
   acceptDivergent(value: number): void {
     const revision = this.machine.current().revision + 1;
     this.machine.apply(changeCommand(revision, value), revision);
   }
 
-  /** Accepts revisions up to `revision`. */
+  /** Accepts all missing revisions up to and including `revision`. */
   acceptUpTo(revision: number): void {
     for (let next = this.machine.current().revision + 1; next <= revision; next += 1) {
       this.machine.apply(changeCommand(next), next);
@@ -141,7 +141,7 @@
     const { environment, name } = this.host;
     const telemetry = { logger: SILENT_LOGGER, registry: this.registry };
     const identity = { clusterId: CLUSTER.id, clusterKey: CLUSTER.key, name };
-    const { daemons, signs, log } = this;
+    const { daemons, livenessReports, log } = this;
     this.server = new ControlStreamServer(
       {
         clock: environment.clock,
@@ -149,8 +149,8 @@
         feed: this.machine,
         log,
         daemons,
-        signs,
-        onNews: () => this.exchange.notify(),
+        livenessReports,
+        onUpdate: () => this.exchange.notify(),
         ...(this.historyOptions === undefined ? {} : { historyOptions: this.historyOptions }),
       },
       telemetry,
@@ -161,8 +161,8 @@
         identity,
         readMembers: () => this.log.members,
         daemons,
-        signs,
-        onSigns: () => this.server.notify(),
+        livenessReports,
+        onLivenessReports: () => this.server.notify(),
       },
       telemetry,
     );
@@ -180,8 +180,8 @@
   }
 }
 
-/** Makes the controllers known to each other. */
-export function introduce(controllers: readonly TestController[]): void {
+/** Sets the member list of every controller to `controllers`. */
+export function setMembers(controllers: readonly TestController[]): void {
   const members = controllers.map(({ endpoint }) => ({
     memberId: endpoint.memberId,
     address: formatAddress(endpoint.address),
--- a/test/control-stream/daemon-fixture.ts
+++ b/test/control-stream/daemon-fixture.ts
@@ -1,4 +1,4 @@
-/** A daemon that follows the control stream in the simulation, and what it saw. */
+/** A simulated daemon that follows the control stream and records what it receives. */
 import { Registry } from 'prom-client';
 import type { SimulatedMachine } from '../../lab/simulation/simulated-machine.js';
 import {
@@ -7,16 +7,16 @@
 } from '../../src/control-stream/control-stream-client.js';
 import type { ControlStreamFaults } from '../../src/control-stream/control-stream-faults.js';
 import { observe } from '../../src/control-stream/observe.js';
-import type { ReplicaSign } from '../../src/model/replica-sign.js';
+import type { LivenessReport } from '../../src/model/liveness-report.js';
 import { SILENT_LOGGER } from '../../src/observability/logger.js';
 import { CLUSTER, type TestController } from './controller-fixture.js';
 
-/** One daemon's process. */
+/** One process of a daemon; starts following when constructed. */
 export class TestDaemon {
   readonly client: ControlStreamClient;
-  /** Every revision put in force, in order. */
+  /** Every revision that came into force, in order. */
   readonly revisions: number[] = [];
-  readonly signs: ReplicaSign[] = [];
+  readonly livenessReports: LivenessReport[] = [];
   readonly registry = new Registry();
 
   constructor(
@@ -35,7 +35,7 @@
     const telemetry = { logger: SILENT_LOGGER, registry: this.registry };
     this.client = ControlStreamClient.start(host.environment, configuration, telemetry, faults);
     observe(this.client.revisions, ({ revision }) => this.revisions.push(revision));
-    observe(this.client.replicaSigns, (sign) => this.signs.push(sign));
+    observe(this.client.livenessReports, (report) => this.livenessReports.push(report));
   }
 
   get revision(): number | undefined {
@@ -46,7 +46,7 @@
     return this.client.freshness().fresh;
   }
 
-  /** How often sessions ended, or resyncs were asked for, for `reason`. */
+  /** Sum of the counter `name`, over the label `reason` only if one is passed. */
   async counter(name: string, reason?: string): Promise<number> {
     const values = (await this.registry.getSingleMetric(name)?.get())?.values ?? [];
     return values
--- a/test/control/replace-controller.test.ts
+++ b/test/control/replace-controller.test.ts
@@ -21,20 +21,25 @@
   | { readonly action: 'addLearner'; readonly memberId: string; readonly address: string }
   | { readonly action: 'promote' | 'remove'; readonly memberId: string };
 
-/** As `driftway members` sends it. */
+/** Sends a membership change as `driftway members` does. */
 function changeMembers(client: OperatorClient, body: MemberChange): Promise<MemberList> {
   const request = { method: 'POST', target: '/v1/members', body, resendable: true } as const;
   return client.send<MemberList>(request);
 }
 
-/** The steps of docs/operators/replace-controller.md. */
-async function replace(client: OperatorClient, lostId: string, at: string): Promise<MemberList> {
+/** Follows the steps of docs/operators/replace-controller.md. */
+async function replaceController(
+  client: OperatorClient,
+  lostId: string,
+  at: string,
+): Promise<MemberList> {
   await changeMembers(client, { action: 'addLearner', memberId: ADDED, address: at });
   await changeMembers(client, { action: 'promote', memberId: ADDED });
   return changeMembers(client, { action: 'remove', memberId: lostId });
 }
 
-class Group {
+/** A simulated group whose members are changed by an operator. */
+class ManualGroup {
   readonly simulation = new Simulation(9);
   private readonly machines = new Map<string, SimulatedMachine>();
 
@@ -48,7 +53,7 @@
     return this.machines.get(id) ?? expect.fail(id);
   }
 
-  messages(id: string): string {
+  messageAddress(id: string): string {
     return `${this.machine(id).host}:${MESSAGE_PORT}`;
   }
 
@@ -60,11 +65,11 @@
       zone,
       cluster: { id: 'dohoku', key: 'a-long-random-secret' },
       dataFolder: 'unused',
-      listen: { http: `${host}:${HTTP_PORT}`, messages: this.messages(id) },
+      listen: { http: `${host}:${HTTP_PORT}`, messages: this.messageAddress(id) },
       initialMembers: INITIAL.map((memberId) => ({
         memberId,
         zone: `zone-of-${memberId}`,
-        address: this.messages(memberId),
+        address: this.messageAddress(memberId),
       })),
       join,
       administration: { bootstrapTokenHash: hashToken(TOKEN) },
@@ -73,7 +78,7 @@
     return this.simulation.settle(ControllerDaemon.start(environment, configuration, telemetry));
   }
 
-  /** An operator who asks these controllers, in this order. */
+  /** Creates an operator's client that asks these controllers, in this order. */
   operator(...ids: readonly string[]): OperatorClient {
     const machine = this.simulation.createMachine(`operator-${this.simulation.now}`, 'office');
     const { clock, network } = machine.environment;
@@ -100,39 +105,42 @@
 }
 
 describe('replacement of a controller whose disk is lost', () => {
-  it.each(INITIAL)('carries a second failure right after it (%s)', async (lostId) => {
-    const group = new Group();
-    for (const id of INITIAL) await group.start(id);
-    await group.simulation.runFor(ELECTION_MS);
-    const rest = INITIAL.filter((id) => id !== lostId);
-    const client = group.operator(...rest);
-    await group.accept(client, 1);
-    group.machine(lostId).restart({ keepDisk: false });
-    await group.simulation.runFor(ELECTION_MS);
-    const wiped = await group.start(lostId);
-    const cause = await group.simulation.settle(wiped.failure);
-    expect(cause.message).toContain('docs/operators/replace-controller.md');
-    await group.start(ADDED, true);
-    const address = group.messages(ADDED);
-    const { members } = await group.simulation.settle(replace(client, lostId, address));
-    const voters = members.filter(({ voter }) => voter).map(({ memberId }) => memberId);
-    expect(voters.toSorted()).toEqual([...rest, ADDED].toSorted());
-    // Sent again, as after a lost answer, it changes nothing.
-    await group.simulation.settle(replace(client, lostId, address));
-    await group.accept(client, 2);
-    const [second = '', survivor = ''] = rest;
-    group.machine(second).crash({ power: true });
-    const after = group.operator(ADDED, survivor);
-    await group.accept(after, 3);
-    const history = await group.simulation.settle(
-      after.get<{ changes: { changeId: string }[] }>('/v1/history'),
-    );
-    const accepted = history.changes.map(({ changeId }) => changeId);
-    expect(accepted).toEqual(['change-3', 'change-2', 'change-1']);
-  });
+  it.each(INITIAL)(
+    'leaves a group that tolerates another failure right afterwards (%s lost)',
+    async (lostId) => {
+      const group = new ManualGroup();
+      for (const id of INITIAL) await group.start(id);
+      await group.simulation.runFor(ELECTION_MS);
+      const rest = INITIAL.filter((id) => id !== lostId);
+      const client = group.operator(...rest);
+      await group.accept(client, 1);
+      group.machine(lostId).restart({ keepDisk: false });
+      await group.simulation.runFor(ELECTION_MS);
+      const wiped = await group.start(lostId);
+      const cause = await group.simulation.settle(wiped.failure);
+      expect(cause.message).toContain('docs/operators/replace-controller.md');
+      await group.start(ADDED, true);
+      const address = group.messageAddress(ADDED);
+      const { members } = await group.simulation.settle(replaceController(client, lostId, address));
+      const voters = members.filter(({ voter }) => voter).map(({ memberId }) => memberId);
+      expect(voters.toSorted()).toEqual([...rest, ADDED].toSorted());
+      // Repeating the steps, as after a lost response, changes nothing.
+      await group.simulation.settle(replaceController(client, lostId, address));
+      await group.accept(client, 2);
+      const [second = '', survivor = ''] = rest;
+      group.machine(second).crash({ power: true });
+      const after = group.operator(ADDED, survivor);
+      await group.accept(after, 3);
+      const history = await group.simulation.settle(
+        after.get<{ changes: { changeId: string }[] }>('/v1/history'),
+      );
+      const accepted = history.changes.map(({ changeId }) => changeId);
+      expect(accepted).toEqual(['change-3', 'change-2', 'change-1']);
+    },
+  );
 
-  it('refuses what is wrong at once, also when a follower is asked', async () => {
-    const group = new Group();
+  it('refuses an invalid membership change at once, whether the leader or a follower is asked', async () => {
+    const group = new ManualGroup();
     for (const id of INITIAL) await group.start(id);
     await group.simulation.runFor(ELECTION_MS);
     for (const id of INITIAL) {
--- a/test/directory/unreadable-frames.test.ts
+++ b/test/directory/unreadable-frames.test.ts
@@ -19,7 +19,7 @@
   return (unreadable ?? []).reduce((sum, { value }) => sum + value, 0);
 }
 
-it('frames of a controller that cannot be read are counted, and end the stream', async () => {
+it('unreadable frames from a controller are counted and end the stream', async () => {
   const simulation = new Simulation(5);
   const controller = simulation.createMachine('controller', 'a');
   const { environment } = simulation.createMachine('gateway', 'a');
@@ -41,19 +41,19 @@
     identity: { ...identity, name: 'gateway' },
     subscriberKind: SubscriberKind.Gateway,
     zone: 'a',
-    directory: new ReplicaDirectory(environment.clock, DirectoryKind.HearsChanges),
+    directory: new ReplicaDirectory(environment.clock, DirectoryKind.ReceivesChanges),
     unusable: new UnusableEntries({ clock: environment.clock, ...telemetry }),
     traffic: new ZoneTraffic('a', registry),
     ...telemetry,
   });
-  client.useSeeds([`${address.host}:${address.port}`]);
+  client.setSeeds([`${address.host}:${address.port}`]);
   await simulation.runFor(1_000);
   expect(await countUnreadable(registry)).toBeGreaterThan(0);
   expect(client.openLinks).toBe(0);
   await simulation.settle(client.stop());
 });
 
-it('frames of a subscriber that cannot be read are counted, and end its stream', async () => {
+it('unreadable frames from a subscriber are counted and end its stream', async () => {
   const group = await AutomaticGroup.start(1);
   const { simulation } = group;
   const { environment } = simulation.createMachine('stranger', 'nayoro');
