--- a/src/aggregation/relayed-gather.ts
+++ b/src/aggregation/relayed-gather.ts
@@ -25,7 +25,7 @@
   }
 
   get mayHaveSent(): boolean {
-    return this.groups.some(({ mayHaveSent: isOffered }) => isOffered);
+    return this.groups.some(({ mayHaveSent }) => mayHaveSent);
   }
 
   get mayRun(): boolean {
--- a/src/configuration/gateway-configuration.ts
+++ b/src/configuration/gateway-configuration.ts
@@ -11,12 +11,12 @@
   zonesSchema,
 } from './daemon-configuration.js';
 
-/** Bounds of what replicas get beyond the first sending of each request, of the whole fleet. */
+/** Bounds of what replicas get beyond the first attempt of each request, of the whole fleet. */
 export const secondSendSchema = z
   .strictObject({
-    /** Further sendings for each request. */
+    /** Further attempts for each request. */
     ratio: z.number().min(0).max(1).default(0.1).describe('0.1'),
-    /** Further sendings beyond that, of all gateways together. */
+    /** Further attempts beyond that, of all gateways together. */
     slack: z.int().min(0).default(16),
     /** In any span of this length. Milliseconds. */
     windowMs: z.int().min(1_000).default(10_000),
@@ -28,7 +28,7 @@
 export const placementSchema = z
   .strictObject({
     /**
-     * Cost of one sending to a replica of another zone, as a part of the worth of
+     * Cost of one attempt at a replica of another zone, as a part of the worth of
      * one request that is answered in time; 0 chooses by time alone.
      */
     otherZoneCost: z.number().min(0).max(1).default(0.03).describe('0.03'),
--- a/src/control/controller-core.ts
+++ b/src/control/controller-core.ts
@@ -118,7 +118,7 @@
   const { clock } = environment;
   const daemons = new DaemonDirectory(clock, faults);
   const livenessReports = new LivenessReportTable(faults);
-  const onNews = (): void => exchange.notify();
+  const onUpdate = (): void => exchange.notify();
   const server = new ControlStreamServer(
     {
       clock,
@@ -126,22 +126,22 @@
       feed: machine,
       log,
       daemons,
-      livenessReports: livenessReports,
-      onUpdate: onNews,
+      livenessReports,
+      onUpdate,
       faults,
     },
     telemetry,
   );
   const readMembers = (): readonly ReplicatedLogMember[] => log.status().members;
-  const onSigns = (): void => server.notify();
+  const onLivenessReports = (): void => server.notify();
   const exchange = new ControllerExchange(
     {
       environment,
       identity,
       readMembers,
       daemons,
-      livenessReports: livenessReports,
-      onLivenessReports: onSigns,
+      livenessReports,
+      onLivenessReports,
       faults,
     },
     telemetry,
--- a/src/control/platform-list-poller.ts
+++ b/src/control/platform-list-poller.ts
@@ -95,9 +95,8 @@
     for (const item of machines) {
       const machine = this.parseMachine(item);
       if (machine === undefined) continue;
-      const sign = { ...machine, observedBy: PLATFORM_OBSERVER };
-      hasNewReports =
-        this.livenessReports.record({ scope: ALL_ZONES, report: sign }) || hasNewReports;
+      const report = { ...machine, observedBy: PLATFORM_OBSERVER };
+      hasNewReports = this.livenessReports.record({ scope: ALL_ZONES, report }) || hasNewReports;
     }
     if (hasNewReports) this.onNewReports();
     return 'read';
--- a/src/explain/request-story.ts
+++ b/src/explain/request-story.ts
@@ -24,7 +24,7 @@
 const SUBJECT_FACTS = ['controller', 'replicaId', 'fingerprint'] as const;
 const ATTEMPT_LISTS = ['attempts', 'missingAttempts'] as const;
 
-/** One sending of the request, as the line about it shows it. */
+/** One attempt of the request, as the line about it shows it. */
 export type StoryAttempt = Readonly<Record<string, unknown>>;
 
 /** A line that tells what the gateway went by. */
--- a/src/gateway/shard-gather.ts
+++ b/src/gateway/shard-gather.ts
@@ -94,16 +94,16 @@
     const { shards, totalShards, isRepeat, maySendAgain } = this.options;
     const { receivedAt, route } = this.request;
     const latency = this.context.latencies.of(route);
-    const retryUntil = receivedAt + targetLatencyOf(route) * RETRY_FRACTION;
-    const stake = Math.min(1, COVERAGE_EXPONENT / totalShards);
+    const retryDeadline = receivedAt + targetLatencyOf(route) * RETRY_FRACTION;
+    const valueFraction = Math.min(1, COVERAGE_EXPONENT / totalShards);
     for (const service of shards) {
       this.races.push(
         new ReplicaRace(this.context, this.request, {
           service,
           latency,
-          valueFraction: stake,
+          valueFraction,
           isRepeat,
-          retryDeadline: retryUntil,
+          retryDeadline,
           maySendAgain,
           onEnd: (race) => this.onRaceEnd(race),
         }),
--- a/src/model/liveness-report.ts
+++ b/src/model/liveness-report.ts
@@ -10,17 +10,17 @@
   gone: 2,
 };
 
-/** One observation that a replica is live, draining or gone, called a sign. */
+/** One observation that a replica is live, draining or gone. */
 export interface LivenessReport {
   readonly replicaId: string;
-  /** Incarnation of the back-end process. A larger one supersedes all signs of smaller ones. */
+  /** Incarnation of the back-end process. A larger one supersedes all reports of smaller ones. */
   readonly incarnation: number;
   readonly state: ReplicaState;
   /** Name of the daemon that observed the state, or `platform`. */
   readonly observedBy: string;
 }
 
-/** Whether `candidate` is newer than `known`; both are signs of the same replica. */
+/** Whether `candidate` is newer than `known`; both are reports on the same replica. */
 export function supersedes(candidate: LivenessReport, known: LivenessReport): boolean {
   if (candidate.incarnation !== known.incarnation) {
     return candidate.incarnation > known.incarnation;
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -143,8 +143,8 @@
     this.logger.info('router listening', { http: formatAddress(this.address) });
     const { registry } = this.context;
     this.subscribe(this.source.revisions, (state) => this.applyRevision(state));
-    this.subscribe(this.source.livenessReports, (sign) => registry.applyLivenessReport(sign));
-    this.subscribe(registry.ownLivenessReports, (sign) => this.source.reportReplicaState(sign));
+    this.subscribe(this.source.livenessReports, (report) => registry.applyLivenessReport(report));
+    this.subscribe(registry.ownLivenessReports, (report) => this.source.reportReplicaState(report));
     const current = this.source.current();
     if (current !== undefined) this.applyRevision(current);
   }
--- a/src/settings/change-outcome.ts
+++ b/src/settings/change-outcome.ts
@@ -19,7 +19,7 @@
   /** The change id was used before, for something else. */
   | { readonly kind: 'changeIdReused' };
 
-/** An outcome with whether it was reached by an earlier sending of the same change. */
+/** An outcome with whether it was reached by an earlier attempt at the same change. */
 export interface RecordedOutcome {
   readonly outcome: ChangeOutcome;
   readonly repeated: boolean;
--- a/src/settings/configuration-source.ts
+++ b/src/settings/configuration-source.ts
@@ -18,9 +18,9 @@
   freshness(): ConfigurationFreshness;
   /** Every later revision, in order, each higher than the one before. */
   readonly revisions: Stream<ConfigurationState>;
-  /** Signs that other daemons of the zone and the platform list gave of replicas. */
+  /** Liveness reports on replicas from other daemons of the zone and from the platform list. */
   readonly livenessReports: Stream<LivenessReport>;
-  /** Tells the other daemons of the zone. Best effort; a lost sign is seen again. */
+  /** Tells the other daemons of the zone. Best effort; a state whose report is lost is observed again. */
   reportReplicaState(report: LivenessReport): void;
   /** Leaves the source politely. */
   close(): Promise<void>;
--- a/src/settings/validate-configuration.ts
+++ b/src/settings/validate-configuration.ts
@@ -43,7 +43,7 @@
   throw new ChangeRejectedError(`overrides.${text}`, 'there is no such scope');
 }
 
-/** Replica signs name a replica alone, so one name must not stand for two processes. */
+/** Liveness reports name a replica alone, so one name must not stand for two processes. */
 function validateReplicaNames(state: ConfigurationState): void {
   const owners = new Map<string, string>();
   for (const service of Object.values(state.services)) {
--- a/test/consensus/membership-races.test.ts
+++ b/test/consensus/membership-races.test.ts
@@ -72,7 +72,7 @@
 
   it('takes a resend of the same addition for what it is', async () => {
     const { cluster, leader } = await withJoiners(4, ['d']);
-    for (let sending = 0; sending < 2; sending += 1) {
+    for (let attempt = 0; attempt < 2; attempt += 1) {
       await cluster.simulation.settle(cluster.node(leader).addLearner('d', cluster.addressOf('d')));
     }
     expect(cluster.node(leader).status().members).toHaveLength(IDS.length + 1);
--- a/test/consensus/support/register-client.ts
+++ b/test/consensus/support/register-client.ts
@@ -17,10 +17,10 @@
 /** After which a controller that does not answer has died. Milliseconds. */
 const ANSWER_LIMIT = 12_000;
 const LONGEST_PAUSE = 400;
-/** Sendings of one change before the operator gives up. */
-const SENDINGS = 3;
+/** Attempts at one change before the operator gives up. */
+const ATTEMPTS = 3;
 
-/** What one sending brought. */
+/** What one attempt brought. */
 interface Reply {
   readonly status: number;
   readonly body: {
@@ -93,21 +93,21 @@
       reason: 'test',
       operations: [{ type: 'set', scope: 'defaults', key: 'queueLimit', value }],
     };
-    for (let sending = 1; sending <= SENDINGS; sending += 1) {
+    for (let attempt = 1; attempt <= ATTEMPTS; attempt += 1) {
       const reply = await this.send('POST', '/v1/changes', body);
-      const answer = this.answerOf(reply, sending);
+      const answer = this.answerOf(reply, attempt);
       if (answer.kind === 'accepted') this.known = { revision: answer.revision, value };
       if (answer.kind !== 'unknown') return answer;
     }
     return { kind: 'unknown' };
   }
 
-  private answerOf(reply: Reply | undefined, sending: number): RegisterAnswer {
+  private answerOf(reply: Reply | undefined, attempt: number): RegisterAnswer {
     if (reply?.status === 200) return { kind: 'accepted', revision: reply.body.revision ?? 0 };
     const { error } = reply?.body ?? {};
     if (error?.code === 'conflict') return { kind: 'conflict' };
-    // After a lost answer, a refusal of the resend says nothing of the first sending.
-    return { kind: error?.changed === 'no' && sending === 1 ? 'not_run' : 'unknown' };
+    // After a lost answer, a refusal of the resend says nothing of the first attempt.
+    return { kind: error?.changed === 'no' && attempt === 1 ? 'not_run' : 'unknown' };
   }
 
   /** Undefined when no controller could be asked, or it died before it answered. */
--- a/test/explain/explain-request.test.ts
+++ b/test/explain/explain-request.test.ts
@@ -93,7 +93,7 @@
     expect(output).not.toContain('controller lost');
   });
 
-  it('tells under which sendings of the same request replicas ended', async () => {
+  it('tells under which attempts of the same request replicas ended', async () => {
     const { output } = await explain('refused');
     expect(output).toContain('status=429');
     expect(output).toMatch(/80 ms before: quarantine of a request changed .*after=quarantined/);
--- a/test/gateway/replica-model.ts
+++ b/test/gateway/replica-model.ts
@@ -76,16 +76,16 @@
   clock: Clock,
   models: ReadonlyMap<string, ReplicaModel>,
 ): Pick<AttemptSender, 'send'> {
-  const exchange = async (target: ReplicaTarget, sending: SendOptions): Promise<AttemptResult> => {
+  const exchange = async (target: ReplicaTarget, options: SendOptions): Promise<AttemptResult> => {
     const model = models.get(target.entry.replicaId);
     if (model === undefined || model.fault === ModelFault.DropsConnections) {
-      await clock.sleep(sending.connectTimeout ?? CONNECT_TIMEOUT_MS);
+      await clock.sleep(options.connectTimeout ?? CONNECT_TIMEOUT_MS);
       return { kind: 'notRun', reason: NotRunReason.Unreachable };
     }
     await clock.sleep(ROUND_TRIP_MS);
-    if (sending.signal.aborted) return { kind: 'cancelled' };
-    sending.onSent();
-    const outcome = await model.serve(() => sending.signal.aborted);
+    if (options.signal.aborted) return { kind: 'cancelled' };
+    options.onSent();
+    const outcome = await model.serve(() => options.signal.aborted);
     if (model.fault !== ModelFault.Silent) {
       target.load = { ...model.load, workFactor: 1, at: clock.now() };
     }
@@ -93,11 +93,11 @@
     return { kind: 'answered', answer: ANSWER };
   };
   return {
-    send: (_request: CallerRequest, target: ReplicaTarget, sending: SendOptions) => {
+    send: (_request: CallerRequest, target: ReplicaTarget, options: SendOptions) => {
       const aborted = new Promise<AttemptResult>((resolve) => {
-        sending.signal.addEventListener('abort', () => resolve({ kind: 'cancelled' }));
+        options.signal.addEventListener('abort', () => resolve({ kind: 'cancelled' }));
       });
-      return Promise.race([exchange(target, sending), aborted]);
+      return Promise.race([exchange(target, options), aborted]);
     },
   };
 }
--- a/test/gateway/tenant-identity.test.ts
+++ b/test/gateway/tenant-identity.test.ts
@@ -59,10 +59,10 @@
 
 /** Number of runs beyond the first of the same request at the same service. */
 function sentAgain({ replicas }: Fleet): number {
-  const sendings = replicas.flatMap(({ options, runs }) =>
+  const attempts = replicas.flatMap(({ options, runs }) =>
     runs.map(({ requestId }) => `${options.service} ${requestId}`),
   );
-  return sendings.length - new Set(sendings).size;
+  return attempts.length - new Set(attempts).size;
 }
 
 /** Expects every request to name the tenant and to hold neither a key nor a claim of the caller. */
--- a/test/router/drain.test.ts
+++ b/test/router/drain.test.ts
@@ -10,21 +10,26 @@
   }
 }
 
-function publishSign(harness: RouterHarness, state: ReplicaState, incarnation = 1): void {
-  harness.source.publishSign({ replicaId: 's0-r0', incarnation, state, observedBy: OBSERVER });
+function publishLivenessReport(harness: RouterHarness, state: ReplicaState, incarnation = 1): void {
+  harness.source.publishLivenessReport({
+    replicaId: 's0-r0',
+    incarnation,
+    state,
+    observedBy: OBSERVER,
+  });
 }
 
 describe('a draining or gone replica', () => {
   for (const state of ['draining', 'gone'] as const) {
-    it(`gets no new attempt after a sign that it is ${state}`, async () => {
+    it(`gets no new attempt after a liveness report that it is ${state}`, async () => {
       const harness = await RouterHarness.start({ shards: 1 });
-      publishSign(harness, state);
+      publishLivenessReport(harness, state);
       await queryMany(harness);
       expect(harness.backend('s0-r0').attempts).toHaveLength(0);
     });
   }
 
-  it('is detected by its report within a second, and the sign is reported to the source', async () => {
+  it('is detected by its own report within a second, and a liveness report goes to the source', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
     const backend = harness.backend('s0-r0');
     backend.draining = true;
@@ -45,28 +50,28 @@
     expect(harness.source.reported).toHaveLength(1);
   });
 
-  it('gets no attempt again after reports or live signs of the same incarnation', async () => {
+  it('gets no attempt again after its own reports or liveness reports that the same incarnation is live', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
-    publishSign(harness, 'draining');
-    publishSign(harness, 'live');
+    publishLivenessReport(harness, 'draining');
+    publishLivenessReport(harness, 'live');
     await harness.clock.advance(5_000);
     await queryMany(harness);
     expect(harness.backend('s0-r0').attempts).toHaveLength(0);
   });
 
-  it('gets attempts again with a new incarnation, despite later signs of the former one', async () => {
+  it('gets attempts again with a new incarnation, despite later liveness reports on the former one', async () => {
     const harness = await RouterHarness.start({ shards: 1 });
-    publishSign(harness, 'gone');
+    publishLivenessReport(harness, 'gone');
     harness.backend('s0-r0').incarnation = 2;
     await harness.clock.advance(1_000);
-    publishSign(harness, 'draining', 1);
+    publishLivenessReport(harness, 'draining', 1);
     await queryMany(harness);
     expect(harness.backend('s0-r0').attempts.length).toBeGreaterThan(0);
   });
 
-  it('gets no attempt when its sign came before the configuration that names it', async () => {
+  it('gets no attempt when its liveness report came before the configuration that names it', async () => {
     const harness = await RouterHarness.start({ shards: 1, withoutConfiguration: true });
-    publishSign(harness, 'draining');
+    publishLivenessReport(harness, 'draining');
     const other = await RouterHarness.start({ shards: 1 });
     const state = other.source.current();
     if (state !== undefined) harness.source.publish(state);
@@ -76,9 +81,9 @@
     expect(harness.backend('s0-r1').attempts.length).toBeGreaterThan(0);
   });
 
-  it('gets attempts under the fault that ignores signs', async () => {
+  it('gets attempts under the fault that ignores liveness reports', async () => {
     const harness = await RouterHarness.start({ shards: 1, faults: { ignoreDrain: true } });
-    publishSign(harness, 'draining');
+    publishLivenessReport(harness, 'draining');
     await queryMany(harness);
     expect(harness.backend('s0-r0').attempts.length).toBeGreaterThan(0);
   });
--- a/test/router/membership.test.ts
+++ b/test/router/membership.test.ts
@@ -7,7 +7,12 @@
 
 function publishGone(harness: RouterHarness): void {
   const replicaId = 's0-r0';
-  harness.source.publishSign({ replicaId, incarnation: 1, state: 'gone', observedBy: 'platform' });
+  harness.source.publishLivenessReport({
+    replicaId,
+    incarnation: 1,
+    state: 'gone',
+    observedBy: 'platform',
+  });
 }
 
 describe('attempts that wait for a connection', () => {
--- a/test/router/support/failure-run.ts
+++ b/test/router/support/failure-run.ts
@@ -90,7 +90,7 @@
     else if (chance < 0.1) this.crash(this.pick(this.backends));
     else if (chance < 0.13) this.drain(this.pick(this.backends));
     else if (chance < 0.16) this.slowDown(this.pick(this.backends));
-    else if (chance < 0.18) this.publishOutdatedSign(this.pick(this.backends));
+    else if (chance < 0.18) this.publishOutdatedLivenessReport(this.pick(this.backends));
   }
 
   private sendQueries(): void {
@@ -166,11 +166,11 @@
     this.scheduleWithin(300, () => (backend.latency = 1));
   }
 
-  /** Publishes a delayed sign that a process is live which may already be draining. */
-  private publishOutdatedSign({ replicaId, incarnation }: FakeBackend): void {
+  /** Publishes a delayed liveness report that a process is live which may already be draining. */
+  private publishOutdatedLivenessReport({ replicaId, incarnation }: FakeBackend): void {
     const old = Math.max(1, incarnation - this.random.nextInteger(0, 1));
-    const sign = { replicaId, incarnation: old, state: 'live', observedBy: 'platform' } as const;
-    this.harness.source.publishSign(sign);
+    const report = { replicaId, incarnation: old, state: 'live', observedBy: 'platform' } as const;
+    this.harness.source.publishLivenessReport(report);
   }
 
   /** Makes a small fraction of replies lost, foreign, not started, failed, malformed or endless. */
--- a/test/router/support/fake-configuration-source.ts
+++ b/test/router/support/fake-configuration-source.ts
@@ -1,4 +1,4 @@
-/** A configuration source whose revisions, signs and freshness a test sets. */
+/** A configuration source whose revisions, liveness reports and freshness a test sets. */
 import { createAdapter } from '@most/adapter';
 import type { Stream } from '@most/types';
 import type { LivenessReport } from '../../../src/model/liveness-report.js';
@@ -12,7 +12,7 @@
   readonly revisions: Stream<ConfigurationState>;
   readonly livenessReports: Stream<LivenessReport>;
   readonly publish: (state: ConfigurationState) => void;
-  readonly publishSign: (sign: LivenessReport) => void;
+  readonly publishLivenessReport: (report: LivenessReport) => void;
   readonly reported: LivenessReport[] = [];
   fresh = true;
 
@@ -23,7 +23,7 @@
       this.state = next;
       publish(next);
     };
-    [this.publishSign, this.livenessReports] = createAdapter<LivenessReport>();
+    [this.publishLivenessReport, this.livenessReports] = createAdapter<LivenessReport>();
   }
 
   current(): ConfigurationState | undefined {
@@ -34,8 +34,8 @@
     return { fresh: this.fresh, committedRevision: this.state?.revision ?? 0 };
   }
 
-  reportReplicaState(sign: LivenessReport): void {
-    this.reported.push(sign);
+  reportReplicaState(report: LivenessReport): void {
+    this.reported.push(report);
   }
 
   async close(): Promise<void> {}
