--- a/src/gateway/attempt-sender.ts
+++ b/src/gateway/attempt-sender.ts
@@ -29,7 +29,7 @@
   /** Aborting it cancels the attempt. */
   readonly signal: AbortSignal;
   /** Connect timeout in milliseconds; undefined for the client's own. */
-  readonly connectTimeout: number | undefined;
+  readonly connectWithin: number | undefined;
   /** Called when the request is written to a connection; the replica may run it from then on. */
   readonly onSent: () => void;
 }
@@ -48,7 +48,7 @@
   async send(
     request: CallerRequest,
     target: ReplicaTarget,
-    { signal, connectTimeout, onSent }: SendOptions,
+    { signal, connectWithin, onSent }: SendOptions,
   ): Promise<AttemptResult> {
     const remaining = Math.floor(request.deadline - this.clock.now());
     if (remaining < 1) return { kind: 'notRun', reason: NotRunReason.Unreachable };
@@ -59,7 +59,7 @@
         headers: this.headersFor(request, target, remaining),
         ...this.bodyOf(request),
         signal,
-        ...(connectTimeout === undefined ? {} : { connectWithin: connectTimeout }),
+        ...(connectWithin === undefined ? {} : { connectWithin }),
         onSent,
         acceptResponse: (headers) => this.isForRequest(request, headers),
       });
--- a/src/gateway/replica-attempt.ts
+++ b/src/gateway/replica-attempt.ts
@@ -114,7 +114,7 @@
     const { clock } = this.context.environment;
     return {
       signal: this.abortController.signal,
-      connectTimeout: this.options.connectTimeout,
+      connectWithin: this.options.connectTimeout,
       onSent: () => (this.record.connectedAt = clock.now()),
     };
   }
--- a/test/gateway/replica-model.ts
+++ b/test/gateway/replica-model.ts
@@ -79,7 +79,7 @@
   const exchange = async (target: ReplicaTarget, options: SendOptions): Promise<AttemptResult> => {
     const model = models.get(target.entry.replicaId);
     if (model === undefined || model.fault === ModelFault.DropsConnections) {
-      await clock.sleep(options.connectTimeout ?? CONNECT_TIMEOUT_MS);
+      await clock.sleep(options.connectWithin ?? CONNECT_TIMEOUT_MS);
       return { kind: 'notRun', reason: NotRunReason.Unreachable };
     }
     await clock.sleep(ROUND_TRIP_MS);
